--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationLedger.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationLedger.java
@@ -10,18 +10,18 @@
 import io.vavr.control.Either;
 
 /**
- * Holds the configuration in force, whose version only rises.
+ * Holds the current configuration and accepts only newer versions.
  * <p>
- * Documents may come from the platform's service or from any peer, in any order; the
- * highest version that passes the checks is in force. The ledger also knows how long ago
- * the service was last heard to have nothing newer, at first hand or through peers. Not
+ * Documents may come from the platform's configuration service or from any peer, in any
+ * order. The valid document of the highest version becomes the current one. Also tracks
+ * how long ago the service last confirmed that version, directly or through peers. Not
  * thread-safe.
  *
  * @since 0.1
  */
 public final class ConfigurationLedger {
 
-	/** The age of a view that the service has never confirmed, in milliseconds. */
+	/** The age of a version that the service has never confirmed, in milliseconds. */
 	public static final long NEVER_CONFIRMED = Long.MAX_VALUE;
 
 	private FleetConfiguration current;
@@ -37,11 +37,11 @@
 	private long confirmedAt;
 
 	/**
-	 * Offer a document.
-	 * @param source where it came from, for messages
+	 * Parse a document and make it the current one if it is newer.
+	 * @param source the name of the document's source, for error messages
 	 * @param document the document
-	 * @param now the time in milliseconds
-	 * @return what came of it, or the fault that makes the document void
+	 * @param now the current time in milliseconds
+	 * @return the outcome, or the fault that makes the document invalid
 	 */
 	public Either<InvalidDocumentException, Outcome> offer(String source, String document, long now) {
 		if (document.equals(this.text)) {
@@ -51,10 +51,11 @@
 	}
 
 	/**
-	 * Record that the service was heard to hold a version.
+	 * Record that the service reported to hold a version. Ignored unless it is the
+	 * current one.
 	 * @param version the version that the service held
-	 * @param ageMillis how long ago it was heard
-	 * @param now the time in milliseconds
+	 * @param ageMillis how long ago the service reported it, in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void confirm(long version, long ageMillis, long now) {
 		if (this.current == null || version != this.current.version() || ageMillis < 0) {
@@ -68,8 +69,8 @@
 	}
 
 	/**
-	 * Return how long ago the service was heard to hold the version in force.
-	 * @param now the time in milliseconds
+	 * Return how long ago the service last confirmed the current version.
+	 * @param now the current time in milliseconds
 	 * @return the age in milliseconds, or {@link #NEVER_CONFIRMED}
 	 */
 	public long confirmedAgeMillis(long now) {
@@ -77,7 +78,7 @@
 	}
 
 	/**
-	 * Return the configuration in force.
+	 * Return the current configuration.
 	 * @return the configuration, or empty before the first
 	 */
 	public Optional<FleetConfiguration> current() {
@@ -85,7 +86,7 @@
 	}
 
 	/**
-	 * Return the version in force.
+	 * Return the current version.
 	 * @return the version, or 0 before the first
 	 */
 	public long version() {
@@ -93,7 +94,7 @@
 	}
 
 	/**
-	 * Return the document in force.
+	 * Return the text of the current document.
 	 * @return the text, or empty before the first
 	 */
 	public Optional<String> text() {
@@ -101,15 +102,15 @@
 	}
 
 	/**
-	 * Return the digest of the document in force.
-	 * @return the SHA-256 in hexadecimal, or empty text before the first
+	 * Return the digest of the current document.
+	 * @return the SHA-256 in lower-case hexadecimal, or an empty string before the first
 	 */
 	public String digest() {
 		return (this.digest != null) ? this.digest : "";
 	}
 
 	/**
-	 * Return when the document in force was accepted.
+	 * Return when the current document was accepted.
 	 * @return the time in milliseconds
 	 */
 	public long acceptedAt() {
@@ -142,20 +143,20 @@
 	}
 
 	/**
-	 * What came of an offered document.
+	 * The outcome of an offered document.
 	 */
 	public enum Outcome {
 
-		/** It is in force now. */
+		/** It became the current document. */
 		ACCEPTED,
 
-		/** It is the one in force. */
+		/** It equals the current document. */
 		SAME,
 
-		/** It is older than the one in force and was dropped. */
+		/** It is older than the current document and was ignored. */
 		OLDER,
 
-		/** It bears the version in force but differs from it, and was dropped. */
+		/** It has the current version but other content, and was ignored. */
 		CONFLICT
 
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationParser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationParser.java
@@ -13,7 +13,7 @@
 import io.vavr.control.Either;
 
 /**
- * Checks a configuration document whole, the same way at every instance.
+ * Parses and validates a complete configuration document.
  *
  * @since 0.1
  */
@@ -47,10 +47,10 @@
 	}
 
 	/**
-	 * Parse and check a document.
-	 * @param source where the document came from, for messages
+	 * Parse and validate a document.
+	 * @param source the name of the document's source, for error messages
 	 * @param text the document, JSON with comments
-	 * @return the configuration, or the first fault with its setting and line
+	 * @return the configuration, or an exception with the faults that were found
 	 */
 	public static Either<InvalidDocumentException, FleetConfiguration> parse(String source, String text) {
 		return DocumentReader.read(source, text, (root) -> new ConfigurationParser().configuration(root));
@@ -67,10 +67,10 @@
 	}
 
 	private static KeyTimes keyTimes(DocumentObject keys) {
-		Duration least = Duration.ofSeconds(1);
-		return new KeyTimes(keys.duration("retryWindow", least, MAX_WINDOW, DEFAULT_RETRY_WINDOW),
-				keys.duration("viewAge", least, MAX_WINDOW, DEFAULT_VIEW_AGE),
-				keys.duration("serviceStaleness", least, MAX_WINDOW, DEFAULT_STALENESS));
+		Duration minimum = Duration.ofSeconds(1);
+		return new KeyTimes(keys.duration("retryWindow", minimum, MAX_WINDOW, DEFAULT_RETRY_WINDOW),
+				keys.duration("viewAge", minimum, MAX_WINDOW, DEFAULT_VIEW_AGE),
+				keys.duration("serviceStaleness", minimum, MAX_WINDOW, DEFAULT_STALENESS));
 	}
 
 	private List<ServiceDescription> services(List<DocumentObject> objects) {
@@ -128,7 +128,7 @@
 						"must be the SHA-256 of the API key as 64 lower-case hexadecimal digits");
 			}
 			if (!digests.add(digest)) {
-				throw object.invalid("keyDigest", "is that of another account too");
+				throw object.invalid("keyDigest", "is also used by another account");
 			}
 			accounts.add(new AccountDescription(name, digest, object.number("weight", 0.01, 100, 1)));
 		}
@@ -141,7 +141,7 @@
 		for (DocumentObject object : objects) {
 			Intent intent = intent(object);
 			if (!seen.add(intent.account() + ' ' + intent.model())) {
-				throw object.invalid("model", "has another intent for account " + intent.account());
+				throw object.invalid("model", "already has an intent for account " + intent.account());
 			}
 			intents.add(intent);
 		}
@@ -151,7 +151,7 @@
 	private Intent intent(DocumentObject object) {
 		String account = object.text("account", Intent.ANY_ACCOUNT);
 		if (!account.equals(Intent.ANY_ACCOUNT) && !this.accountNames.contains(account)) {
-			throw object.invalid("account", "names no account; \"" + account + "\" is not in accounts");
+			throw object.invalid("account", "names an unknown account; \"" + account + "\" is not in accounts");
 		}
 		String model = object.text("model");
 		if (!this.served.contains(model)) {
@@ -160,7 +160,7 @@
 		List<String> centres = object.texts("dataCentres");
 		for (String centre : centres) {
 			if (!this.dataCentres.contains(centre)) {
-				throw object.invalid("dataCentres", "names \"" + centre + "\", in which there is no target");
+				throw object.invalid("dataCentres", "names \"" + centre + "\", which has no target");
 			}
 		}
 		return new Intent(account, model, object.text("adapter", ""), object.text("modelVersion", "1"),
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/FleetConfiguration.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/FleetConfiguration.java
@@ -8,9 +8,10 @@
 import java.util.Optional;
 
 /**
- * One version of the platform's configuration, checked whole.
+ * One validated version of the platform's configuration.
  * <p>
- * Immutable. Look-ups by account, model and target cost no more when the fleet grows.
+ * Immutable. The cost of a look-up by account, model or target does not grow with the
+ * fleet.
  *
  * @since 0.1
  */
@@ -49,7 +50,7 @@
 	}
 
 	/**
-	 * Return the version, which only rises.
+	 * Return the version, by which configurations are ordered.
 	 * @return the version, at least 1
 	 */
 	public long version() {
@@ -57,8 +58,8 @@
 	}
 
 	/**
-	 * Return the times that bound the use of keys.
-	 * @return the times
+	 * Return the periods that bound the use of idempotency keys.
+	 * @return the periods
 	 */
 	public KeyTimes keyTimes() {
 		return this.keyTimes;
@@ -67,7 +68,7 @@
 	/**
 	 * Return a target by name.
 	 * @param name the target's name
-	 * @return the target, or empty if it is not published
+	 * @return the target, or empty if the configuration has none of that name
 	 */
 	public Optional<TargetDescription> target(String name) {
 		return Optional.ofNullable(this.targets.get(name));
@@ -83,16 +84,16 @@
 
 	/**
 	 * Return the targets that serve a model or service.
-	 * @param model the model or service
-	 * @return the targets in the document's order, maybe none
+	 * @param model the name of the model or service
+	 * @return the targets in the document's order; empty if there are none
 	 */
 	public List<TargetDescription> targetsServing(String model) {
 		return this.targetsByModel.getOrDefault(model, List.of());
 	}
 
 	/**
-	 * Return the models and services that some target serves.
-	 * @return the names
+	 * Return the models and services that at least one target serves.
+	 * @return the names in alphabetical order
 	 */
 	public List<String> models() {
 		return this.targetsByModel.keySet().stream().sorted().toList();
@@ -127,7 +128,7 @@
 
 	/**
 	 * Return all accounts.
-	 * @return the accounts in no order
+	 * @return the accounts in no particular order
 	 */
 	public List<AccountDescription> accounts() {
 		return List.copyOf(this.accountsByDigest.values());
@@ -136,7 +137,7 @@
 	/**
 	 * Return the intent for an account and a model, or else the one for any account.
 	 * @param account the account's name
-	 * @param model the model or service
+	 * @param model the name of the model or service
 	 * @return the intent, or empty if the account may not use the model
 	 */
 	public Optional<Intent> intent(String account, String model) {
@@ -146,7 +147,7 @@
 
 	/**
 	 * Return all intents.
-	 * @return the intents in no order
+	 * @return the intents in no particular order
 	 */
 	public List<Intent> intents() {
 		return List.copyOf(this.intents.values());
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/KeyTimes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/KeyTimes.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * The times that bound the use of keys without a ticket.
+ * The periods that bound the use of idempotency keys without a ticket.
  * <p>
- * A sidecar that becomes the home of a key may decide on it without asking once every
- * other process that took itself for the home must have stopped to, and every try before
- * that lies outside the retry window. So its memory must cover the sum of all these
- * times.
+ * A sidecar that becomes the home of a key may decide on it alone only after every
+ * earlier home must have stopped doing so and all earlier attempts are outside the retry
+ * window. It must therefore retain keys for the sum of these periods.
  *
- * @param retryWindow how long after its first try a caller may try again with one key
- * @param viewAge how old a sidecar's confirmed view may be when it decides on a key
- * @param serviceStaleness how old the configuration service's own answer may be
+ * @param retryWindow how long after its first attempt a caller may retry with the same
+ * key
+ * @param viewAge the maximum age of a sidecar's confirmed view when it decides on a key
+ * @param serviceStaleness the maximum age of the configuration service's answer
  * @since 0.1
  */
 public record KeyTimes(Duration retryWindow, Duration viewAge, Duration serviceStaleness) {
 
-	/** The longest that a request may be under way from an entry to a sidecar. */
+	/** The longest transit of a request from an entry to a sidecar. */
 	private static final Duration TRANSIT = Duration.ofSeconds(10);
 
 	/**
-	 * Return how long a sidecar must remember keys and former views.
+	 * Return how long a sidecar must retain keys and former views.
 	 * @return the time in milliseconds
 	 */
 	public long memoryMillis() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/ServiceDescription.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/ServiceDescription.java
@@ -4,11 +4,12 @@
 import java.util.Set;
 
 /**
- * A plain service.
+ * A plain service as the configuration describes it.
  *
  * @param name the service's name
- * @param repeatableMethods the HTTP methods whose calls may run more than once
- * @param oncePaths path prefixes below which no call may be repeated, whatever its method
+ * @param repeatableMethods the HTTP methods whose requests may run more than once
+ * @param oncePaths the path prefixes below which no request may run more than once,
+ * whatever its method
  * @since 0.1
  */
 public record ServiceDescription(String name, Set<String> repeatableMethods, List<String> oncePaths) {
@@ -19,10 +20,10 @@
 	}
 
 	/**
-	 * Return whether a call may run more than once.
+	 * Determine whether a request may run more than once.
 	 * @param method the HTTP method
 	 * @param path the path below the service
-	 * @return {@code true} if it is repeatable
+	 * @return {@code true} if the method is repeatable and the path is not excluded
 	 */
 	public boolean isRepeatable(String method, String path) {
 		return this.repeatableMethods.contains(method) && this.oncePaths.stream().noneMatch(path::startsWith);
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/SpillRule.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/SpillRule.java
@@ -7,7 +7,7 @@
  */
 public enum SpillRule {
 
-	/** Nowhere else. */
+	/** To no other data centre. */
 	NONE,
 
 	/** To other data centres of the same region. */
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/TargetDescription.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/TargetDescription.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * A target as the platform publishes it.
+ * A target as the configuration describes it.
  *
  * @param name the target's name, unique in the fleet
- * @param region the region it runs in
- * @param dataCentre the data centre it runs in
- * @param host the address of its sidecar
+ * @param region the region in which it runs
+ * @param dataCentre the data centre in which it runs
+ * @param host the IP address of its sidecar
  * @param port the port of its sidecar
  * @param serves the models, or the one service, that it can serve
  * @since 0.1
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The platform's configuration document, its checks and the rule that versions only rise.
+ * The platform's configuration document: parsing, validation and versioning.
  */
 package dev.laneworks.core.configuration;
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/DirectoryListener.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/DirectoryListener.java
@@ -1,36 +1,36 @@
 package dev.laneworks.core.directory;
 
 /**
- * Hears of targets that come and go.
+ * Receives changes of the known targets from a {@link TargetDirectory}.
  *
  * @since 0.2
  */
 public interface DirectoryListener {
 
 	/**
-	 * Hear of a target's entry that is new or differs from the one before.
+	 * Handle a target's list entry that is new or has changed.
 	 * @param target the target
 	 */
 	void listed(ListedTarget target);
 
 	/**
-	 * Hear of a target that takes new work.
+	 * Handle a target that accepts new requests from now on.
 	 * @param target the target
 	 */
 	void joined(ListedTarget target);
 
 	/**
-	 * Hear of a target that takes no new work any more.
+	 * Handle a target that accepts no new requests from now on.
 	 * @param target the target
-	 * @param cause what was seen
+	 * @param cause what the directory concluded it from
 	 */
 	void leaving(ListedTarget target, LeavingCause cause);
 
 	/**
-	 * Hear that a target which was leaving is not listed any more, or that a run of it is
-	 * over because another one is listed. Of two runs of a target the former is gone
-	 * before the newer joins, both heard in one, and the directory knows the newer one
-	 * meanwhile.
+	 * Handle a draining target whose list entry was removed, or an incarnation that was
+	 * replaced by a newer one. When both are reported in one batch, the former
+	 * incarnation is gone before the newer one joins, but the directory already holds the
+	 * newer one.
 	 * @param target the target
 	 */
 	void gone(ListedTarget target);
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/EvacuationListener.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/EvacuationListener.java
@@ -1,21 +1,23 @@
 package dev.laneworks.core.directory;
 
 /**
- * Hears of data centres that are evacuated and taken back.
+ * Receives the start and the end of evacuations of data centres from {@link Evacuations}.
  *
  * @since 0.3
  */
 public interface EvacuationListener {
 
 	/**
-	 * Hear that nothing more may be sent to the targets of a data centre.
-	 * @param dataCentre the data centre
+	 * Handle the start of an evacuation: the targets of the data centre must not be sent
+	 * new requests.
+	 * @param dataCentre the data centre's name
 	 */
 	void evacuated(String dataCentre);
 
 	/**
-	 * Hear that the targets of a data centre take work again.
-	 * @param dataCentre the data centre
+	 * Handle the end of an evacuation: the targets of the data centre accept requests
+	 * again.
+	 * @param dataCentre the data centre's name
 	 */
 	void takenBack(String dataCentre);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/Evacuations.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/Evacuations.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 
 /**
- * The targets that are to be sent nothing more though they stay: those in data centres
- * that the operator evacuates, and single ones that are withheld.
+ * The targets that must not be sent new requests although they are not draining: those in
+ * evacuated data centres, and single ones that are withheld.
  * <p>
- * An evacuation holds from the moment it is heard until it is taken back, whatever the
- * targets say of themselves. Targets go on with what they run. Any number of data centres
- * may be evacuated at once, all of them included. A target is withheld while what it says
- * of itself can't be read. Not thread-safe.
+ * An operator starts and ends an evacuation, which applies whatever the targets report
+ * themselves. Targets continue the requests that they execute. Any number of data centres
+ * may be evacuated at once, including all of them. A target is withheld while its list
+ * entry is invalid. Not thread-safe.
  *
  * @since 0.3
  */
@@ -25,16 +25,16 @@
 	private final EvacuationListener listener;
 
 	/**
-	 * Create evacuations of which there are none.
-	 * @param listener hears of changes
+	 * Create an instance without evacuations.
+	 * @param listener receives the start and the end of each evacuation
 	 */
 	public Evacuations(EvacuationListener listener) {
 		this.listener = Objects.requireNonNull(listener, "listener must not be null");
 	}
 
 	/**
-	 * Take all evacuations, read anew.
-	 * @param dataCentres the data centres that are evacuated; all others are not
+	 * Replace all evacuations by those of a new read.
+	 * @param dataCentres the names of the evacuated data centres
 	 */
 	public void replaceAll(Collection<String> dataCentres) {
 		Set.copyOf(this.evacuated).stream().filter((d) -> !dataCentres.contains(d)).forEach(this::end);
@@ -42,8 +42,8 @@
 	}
 
 	/**
-	 * Take that a data centre is to be evacuated.
-	 * @param dataCentre the data centre
+	 * Start the evacuation of a data centre.
+	 * @param dataCentre the data centre's name
 	 */
 	public void begin(String dataCentre) {
 		if (this.evacuated.add(dataCentre)) {
@@ -52,8 +52,8 @@
 	}
 
 	/**
-	 * Take that a data centre is in service again.
-	 * @param dataCentre the data centre
+	 * End the evacuation of a data centre.
+	 * @param dataCentre the data centre's name
 	 */
 	public void end(String dataCentre) {
 		if (this.evacuated.remove(dataCentre)) {
@@ -62,18 +62,18 @@
 	}
 
 	/**
-	 * Take that a single target is to be sent nothing more.
+	 * Withhold a single target from new requests.
 	 * @param id the target's id
-	 * @return whether that is news
+	 * @return {@code true} if it was not withheld before
 	 */
 	public boolean withhold(String id) {
 		return this.withheld.add(id);
 	}
 
 	/**
-	 * Take that a target may be sent work again, or is gone.
+	 * Stop withholding a target that accepts requests again or is gone.
 	 * @param id the target's id
-	 * @return whether it was withheld
+	 * @return {@code true} if it was withheld
 	 */
 	public boolean release(String id) {
 		return this.withheld.remove(id);
@@ -88,17 +88,17 @@
 	}
 
 	/**
-	 * Return whether a target is withheld or in a data centre that is evacuated.
+	 * Determine whether a target is withheld or in an evacuated data centre.
 	 * @param target the target
-	 * @return whether nothing may be sent to it
+	 * @return {@code true} if it must not be sent requests
 	 */
 	public boolean holdsFor(ListedTarget target) {
 		return this.withheld.contains(target.id()) || this.evacuated.contains(target.dataCentre());
 	}
 
 	/**
-	 * Return how many data centres are evacuated.
-	 * @return the count
+	 * Return the number of evacuated data centres.
+	 * @return the number of data centres
 	 */
 	public int count() {
 		return this.evacuated.size();
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/LeavingCause.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/LeavingCause.java
@@ -1,31 +1,31 @@
 package dev.laneworks.core.directory;
 
 /**
- * What showed that a target is leaving.
+ * What the directory concluded a target's draining from.
  *
  * @since 0.2
  */
 public enum LeavingCause {
 
-	/** The target said so itself. */
+	/** The target's list entry reports it. */
 	SAID_SO,
 
-	/** The target's entry went while the list was being followed. */
+	/** The target's list entry was removed while the list was reachable. */
 	VANISHED,
 
-	/** The target's entry did not come back after the list had been out of reach. */
+	/** The target's list entry was not written again after an outage of the list. */
 	LAPSED,
 
-	/** The target said so to an entry that asked it. */
+	/** The target reported it in answer to an entry's request. */
 	SAID_SO_WHEN_ASKED,
 
 	/** Another target is listed at the target's address. */
 	ADDRESS_TAKEN,
 
-	/** The target started again under its id: a newer run is listed. */
+	/** A newer incarnation of the target is listed under its id. */
 	STARTED_AGAIN,
 
-	/** The target refused a request because it is leaving or is another one. */
+	/** The target rejected a request because it is draining or another target. */
 	REFUSED
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/ListedTarget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/ListedTarget.java
@@ -4,19 +4,19 @@
 import java.util.OptionalLong;
 
 /**
- * A target as it lists itself.
+ * A target as described by its own list entry.
  *
- * @param id the target's name, which it may have again when it starts again
- * @param service the service it belongs to
- * @param host the address, an IP number
- * @param port the port
- * @param dataCentre the data centre it is in
- * @param slots the requests that it runs at once
- * @param leaving whether it has said that it takes no new work
- * @param coldMillis for how much longer it says that it is cold, in milliseconds; empty
- * where it does not tell, and negative where what it tells can't be read
- * @param startMillis when it says that it started, in milliseconds of its own time of
- * day; empty where it does not tell
+ * @param id the target's name, which it may keep when it restarts
+ * @param service the service to which it belongs
+ * @param host its IP address
+ * @param port its port
+ * @param dataCentre the data centre in which it runs
+ * @param slots the number of requests that it executes at once
+ * @param leaving whether it reports that it accepts no new requests
+ * @param coldMillis the remaining time that it reports to be cold, in milliseconds; empty
+ * if it reports none, and negative if the value is invalid
+ * @param startMillis when it started, in milliseconds of its own clock; empty if it does
+ * not report that
  * @since 0.2
  */
 public record ListedTarget(String id, String service, String host, int port, String dataCentre, int slots,
@@ -32,15 +32,15 @@
 	}
 
 	/**
-	 * Create a target that does not tell when it started.
+	 * Create a target that does not report its start time.
 	 * @param id the target's name
-	 * @param service the service it belongs to
-	 * @param host the address, an IP number
-	 * @param port the port
-	 * @param dataCentre the data centre it is in
-	 * @param slots the requests that it runs at once
-	 * @param leaving whether it has said that it takes no new work
-	 * @param coldMillis for how much longer it says that it is cold, in milliseconds
+	 * @param service the service to which it belongs
+	 * @param host its IP address
+	 * @param port its port
+	 * @param dataCentre the data centre in which it runs
+	 * @param slots the number of requests that it executes at once
+	 * @param leaving whether it reports that it accepts no new requests
+	 * @param coldMillis the remaining time that it reports to be cold, in milliseconds
 	 */
 	public ListedTarget(String id, String service, String host, int port, String dataCentre, int slots, boolean leaving,
 			OptionalLong coldMillis) {
@@ -48,14 +48,14 @@
 	}
 
 	/**
-	 * Create a target that tells neither whether it is cold nor when it started.
+	 * Create a target that reports neither a cold time nor its start time.
 	 * @param id the target's name
-	 * @param service the service it belongs to
-	 * @param host the address, an IP number
-	 * @param port the port
-	 * @param dataCentre the data centre it is in
-	 * @param slots the requests that it runs at once
-	 * @param leaving whether it has said that it takes no new work
+	 * @param service the service to which it belongs
+	 * @param host its IP address
+	 * @param port its port
+	 * @param dataCentre the data centre in which it runs
+	 * @param slots the number of requests that it executes at once
+	 * @param leaving whether it reports that it accepts no new requests
 	 */
 	public ListedTarget(String id, String service, String host, int port, String dataCentre, int slots,
 			boolean leaving) {
@@ -63,10 +63,10 @@
 	}
 
 	/**
-	 * Return this target as one that started at another time.
-	 * @param millis when it started, in milliseconds of its own time of day; empty where
-	 * that is not known
-	 * @return the target, alike in all else
+	 * Create a copy with another start time.
+	 * @param millis the start time in milliseconds of the target's own clock; empty if it
+	 * is not known
+	 * @return the copy
 	 */
 	public ListedTarget startedAt(OptionalLong millis) {
 		return new ListedTarget(this.id, this.service, this.host, this.port, this.dataCentre, this.slots, this.leaving,
@@ -74,17 +74,17 @@
 	}
 
 	/**
-	 * Return the run of the target that lists itself.
-	 * @return the run
+	 * Return the incarnation that this entry describes.
+	 * @return the incarnation
 	 */
 	public TargetRun run() {
 		return new TargetRun(this.id, this.startMillis);
 	}
 
 	/**
-	 * Return whether two entries are of the same run of the same target.
+	 * Determine whether another entry describes the same incarnation of the same target.
 	 * @param other the other entry
-	 * @return whether the runs are the same
+	 * @return {@code true} if the id and the start time are equal
 	 */
 	public boolean isSameRun(ListedTarget other) {
 		return run().equals(other.run());
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/Listing.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/Listing.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * An entry of the list of targets, as it was written there.
+ * A target's entry in the list of targets.
  *
- * @param target the target
- * @param revision the list's revision at which the entry was written; 0 where that is not
- * known: such an entry counts as written when it is heard
+ * @param target the target as the entry describes it
+ * @param revision the list's revision at which the entry was written, or
+ * {@link #UNKNOWN_REVISION}; an entry of unknown revision counts as written on arrival
  * @since 0.3
  */
 public record Listing(ListedTarget target, long revision) {
 
-	/** The revision of an entry of which it is not known. */
+	/** The revision of an entry for which none is known. */
 	public static final long UNKNOWN_REVISION = 0;
 
 	public Listing {
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -14,51 +14,54 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * The targets as one process knows them.
+ * The targets known to one process, from the list of targets in the store.
  * <p>
- * While the list can't be reached the targets known last stay. Entries can lapse
- * meanwhile though their targets are well; those are back soon after the list is, so that
- * an entry which goes within that time counts as gone only at its end. An address belongs
- * to the target that was listed there last.
+ * While the list is unreachable, the last known targets remain. List entries of healthy
+ * targets may expire during an outage and are written again soon after it. An entry that
+ * is removed within that recovery window therefore counts as gone only at its end. An
+ * address belongs to the target that was listed there last.
  * <p>
- * Of each target one run is known, the one that was listed last by the list's revisions.
- * A run that is listed ends the run before it and all that is known of that one. What is
- * heard late of a former run changes nothing. Not thread-safe.
+ * One incarnation of each target is known: the one listed last by the list's revisions. A
+ * new incarnation replaces the former one and its recorded state. Late updates about a
+ * former incarnation are ignored. Not thread-safe.
  *
  * @since 0.2
  */
 public final class TargetDirectory {
 
 	/**
-	 * How long after the list's return a lapsed entry may still come back, in
-	 * milliseconds; the platform tells about two seconds, and a target may be sent work
-	 * for no longer than that after its leaving was heard.
+	 * How long after an outage of the list an expired entry may still be written again,
+	 * in milliseconds. It also bounds how long a draining target is sent requests after
+	 * its entry was removed.
 	 */
-	private static final long RETURN_MILLIS = 1_800;
+	private static final long RECOVERY_MILLIS = 1_800;
 
 	/**
-	 * How long an ended run that an older copy of the list brings back is left out, in
-	 * milliseconds: the list drops what is not renewed within three heartbeats, and what
-	 * lives writes itself again before.
+	 * How long an entry of an ended incarnation from an older copy of the list is held
+	 * back, in milliseconds. By then the list has dropped every entry that is not
+	 * renewed, and live targets have written theirs again.
 	 */
-	private static final long COPY_DOUBTED_MILLIS = 4_000;
+	private static final long STALE_HOLD_MILLIS = 4_000;
 
 	private final Map<String, ListedTarget> targets = new LinkedHashMap<>();
 
-	/** Entries of ended runs that an older copy of the list holds, by id. */
-	private final Map<String, Listing> doubted = new HashMap<>();
+	/**
+	 * Held-back entries of ended incarnations from an older copy of the list, by target
+	 * id.
+	 */
+	private final Map<String, Listing> staleEntries = new HashMap<>();
 
-	/** Whether the next whole list is that of an older copy. */
-	private boolean readsCopy;
+	/** Whether the next read of the whole list is that of an older copy. */
+	private boolean readingOlderCopy;
 
-	private final Map<String, Long> lapsedUntil = new HashMap<>();
+	private final Map<String, Long> expiryDeadlines = new HashMap<>();
 
-	/** The targets whose known run takes no new work. */
-	private final Set<String> left = new HashSet<>();
+	/** The ids of the targets whose known incarnation accepts no new requests. */
+	private final Set<String> draining = new HashSet<>();
 
-	private final ListOrder order = new ListOrder();
+	private final RevisionTracker revisions = new RevisionTracker();
 
-	private final EndedRuns endedRuns = new EndedRuns();
+	private final EndedIncarnations endedIncarnations = new EndedIncarnations();
 
 	private final DirectoryListener listener;
 
@@ -66,18 +69,18 @@
 
 	private final Timers timers;
 
-	/** What the listener is to be told once a change of several targets is taken in. */
-	private final List<Runnable> untold = new ArrayList<>();
+	/** Notifications to send once the current batch of changes is applied. */
+	private final List<Runnable> pendingNotifications = new ArrayList<>();
 
-	private int changesUnderWay;
+	private int batchDepth;
 
-	private long settledAt = Long.MIN_VALUE;
+	private long recoveryEndsAt = Long.MIN_VALUE;
 
 	/**
 	 * Create an empty directory.
-	 * @param listener hears of changes
-	 * @param evacuations the data centres whose targets take no work
-	 * @param timers what is due later
+	 * @param listener receives the changes
+	 * @param evacuations the data centres and targets that accept no requests
+	 * @param timers schedules the end of recovery windows
 	 */
 	public TargetDirectory(DirectoryListener listener, Evacuations evacuations, Timers timers) {
 		this.listener = Objects.requireNonNull(listener, "listener must not be null");
@@ -86,41 +89,40 @@
 	}
 
 	/**
-	 * Record that the list is followed again after it had been out of reach. A return
-	 * that is heard again within the time in which entries come back, of others and then
-	 * of the list itself, is the same one: entries outlive an outage as short as that,
-	 * and what goes behind the time is a notice.
-	 * @param now the time in milliseconds
+	 * Record that the list is reachable again after an outage, which starts a recovery
+	 * window. Further calls within the window do not extend it, so that entries removed
+	 * after it count as gone at once.
+	 * @param now the current time in milliseconds
 	 */
 	public void regained(long now) {
-		if (now >= this.settledAt) {
-			this.settledAt = now + RETURN_MILLIS;
+		if (now >= this.recoveryEndsAt) {
+			this.recoveryEndsAt = now + RECOVERY_MILLIS;
 		}
 	}
 
 	/**
-	 * Take changes of several targets as one: the listener hears of them once all are
-	 * taken in, so that no work goes from a target that leaves to one that leaves with
-	 * it.
-	 * @param changes what changes this directory
+	 * Apply changes of several targets as one batch. The listener is notified once all
+	 * are applied, so that no request moves from a draining target to another that drains
+	 * in the same batch.
+	 * @param changes makes the changes to this directory
 	 */
 	public void together(Runnable changes) {
-		this.changesUnderWay++;
+		this.batchDepth++;
 		try {
 			changes.run();
 		}
 		finally {
-			this.changesUnderWay--;
+			this.batchDepth--;
 		}
-		if (this.changesUnderWay == 0) {
-			List<Runnable> due = List.copyOf(this.untold);
-			this.untold.clear();
+		if (this.batchDepth == 0) {
+			List<Runnable> due = List.copyOf(this.pendingNotifications);
+			this.pendingNotifications.clear();
 			due.forEach(Runnable::run);
 		}
 	}
 
 	/**
-	 * Take a target's entry.
+	 * Apply a target's list entry of unknown revision.
 	 * @param target the target
 	 */
 	public void put(ListedTarget target) {
@@ -128,135 +130,136 @@
 	}
 
 	/**
-	 * Take an entry as it was written.
-	 * @param listing the entry
+	 * Apply a target's list entry.
+	 * @param listing the list entry and its revision
 	 */
 	public void put(Listing listing) {
-		this.doubted.remove(listing.target().id());
-		together(() -> take(listing, List.copyOf(this.targets.values())));
+		this.staleEntries.remove(listing.target().id());
+		together(() -> apply(listing, List.copyOf(this.targets.values())));
 	}
 
-	private void take(Listing listing, Collection<ListedTarget> known) {
-		if (this.order.isInOrder(listing.target().id(), listing.revision())) {
-			ListedTarget target = ofKnownRun(listing.target());
+	private void apply(Listing listing, Collection<ListedTarget> known) {
+		if (this.revisions.recordIfInOrder(listing.target().id(), listing.revision())) {
+			ListedTarget target = withKnownStart(listing.target());
 			boolean isKnown = isKnownRun(target);
-			endFormerRun(target);
+			endFormerIncarnation(target);
 			if (!isKnown) {
-				endFormerAt(new Listing(target, listing.revision()), known);
+				endFormerAtAddress(new Listing(target, listing.revision()), known);
 			}
-			take(target);
+			apply(target);
 		}
 	}
 
-	// An entry that does not tell when its target started says nothing of another run.
-	private ListedTarget ofKnownRun(ListedTarget listed) {
+	// An entry without a start time counts as one of the known incarnation.
+	private ListedTarget withKnownStart(ListedTarget listed) {
 		return (listed.startMillis().isPresent()) ? listed
 				: find(listed.id()).map((k) -> listed.startedAt(k.startMillis())).orElse(listed);
 	}
 
-	// A target's address is given to another one only after it has ended, even where its
-	// entry is still listed. Of two at one address the one that was listed there later is
-	// there, whichever is heard first.
-	private void endFormerAt(Listing listing, Collection<ListedTarget> known) {
+	// An address is assigned to another target only after its former one has ended,
+	// even if that one is still listed. Of two targets at one address the one listed
+	// there later is current, whichever is received first.
+	private void endFormerAtAddress(Listing listing, Collection<ListedTarget> known) {
 		ListedTarget target = listing.target();
 		for (ListedTarget other : known) {
 			boolean isReplaced = other.address().equals(target.address()) && !other.id().equals(target.id());
 			if (isReplaced) {
-				boolean isOtherThere = !this.lapsedUntil.containsKey(other.id())
-						&& this.order.isKnownBehind(other.id(), listing.revision())
-						|| this.endedRuns.wasBefore(target, other);
-				addressTaken(isOtherThere ? target : other);
+				boolean isOtherCurrent = !this.expiryDeadlines.containsKey(other.id())
+						&& this.revisions.isNewerThan(other.id(), listing.revision())
+						|| this.endedIncarnations.wasAtAddressBefore(target, other);
+				markAddressTaken(isOtherCurrent ? target : other);
 			}
 		}
 	}
 
-	private void addressTaken(ListedTarget former) {
-		if (this.left.add(former.id())) {
-			tell(() -> this.listener.leaving(former, LeavingCause.ADDRESS_TAKEN));
+	private void markAddressTaken(ListedTarget former) {
+		if (this.draining.add(former.id())) {
+			notifyListener(() -> this.listener.leaving(former, LeavingCause.ADDRESS_TAKEN));
 		}
 	}
 
-	// What the new run tells is heard first, since what the former one ran may go there.
-	private void endFormerRun(ListedTarget target) {
+	// The new incarnation's entry is reported first, since requests of the former one
+	// may move to it.
+	private void endFormerIncarnation(ListedTarget target) {
 		Optional<ListedTarget> former = find(target.id()).filter((k) -> !k.isSameRun(target));
 		if (former.isEmpty()) {
 			return;
 		}
-		tell(() -> this.listener.listed(target));
-		this.lapsedUntil.remove(target.id());
+		notifyListener(() -> this.listener.listed(target));
+		this.expiryDeadlines.remove(target.id());
 		drop(former.get(), LeavingCause.STARTED_AGAIN);
 	}
 
-	private void take(ListedTarget target) {
-		this.lapsedUntil.remove(target.id());
+	private void apply(ListedTarget target) {
+		this.expiryDeadlines.remove(target.id());
 		ListedTarget before = this.targets.put(target.id(), target);
-		boolean wasLeaving = this.left.contains(target.id());
-		if (target.leaving() && !wasLeaving) {
-			this.left.add(target.id());
-			tell(() -> this.listener.leaving(target, LeavingCause.SAID_SO));
+		boolean wasDraining = this.draining.contains(target.id());
+		if (target.leaving() && !wasDraining) {
+			this.draining.add(target.id());
+			notifyListener(() -> this.listener.leaving(target, LeavingCause.SAID_SO));
 		}
-		if (!target.leaving() && before == null && !wasLeaving) {
-			tell(() -> this.listener.joined(target));
+		if (!target.leaving() && before == null && !wasDraining) {
+			notifyListener(() -> this.listener.joined(target));
 		}
 		if (!target.equals(before)) {
-			tell(() -> this.listener.listed(target));
+			notifyListener(() -> this.listener.listed(target));
 		}
 	}
 
 	/**
-	 * Take that a target's entry went.
+	 * Handle the removal of a target's list entry.
 	 * @param id the target's id
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void remove(String id, long now) {
-		this.doubted.remove(id);
+		this.staleEntries.remove(id);
 		ListedTarget target = this.targets.get(id);
 		if (target == null) {
 			return;
 		}
-		if (now < this.settledAt && !this.left.contains(id)) {
-			if (this.lapsedUntil.putIfAbsent(id, this.settledAt) == null) {
-				this.timers.at(this.settledAt, this::dropLapsed);
+		if (now < this.recoveryEndsAt && !this.draining.contains(id)) {
+			if (this.expiryDeadlines.putIfAbsent(id, this.recoveryEndsAt) == null) {
+				this.timers.at(this.recoveryEndsAt, this::dropExpired);
 			}
 			return;
 		}
-		this.lapsedUntil.remove(id);
+		this.expiryDeadlines.remove(id);
 		drop(target, LeavingCause.VANISHED);
 	}
 
 	/**
-	 * Take that a target's entry went.
+	 * Handle the removal of a target's list entry, unless a newer entry is known.
 	 * @param id the target's id
-	 * @param revision the list's revision of that
-	 * @param now the time in milliseconds
+	 * @param revision the list's revision of the removal
+	 * @param now the current time in milliseconds
 	 */
 	public void remove(String id, long revision, long now) {
-		if (this.order.isInOrder(id, revision)) {
+		if (this.revisions.recordIfInOrder(id, revision)) {
 			remove(id, now);
 		}
 	}
 
 	/**
-	 * Take the whole list, read anew.
-	 * @param all the targets listed
-	 * @param now the time in milliseconds
+	 * Apply a new read of the whole list. Targets that it lacks are removed.
+	 * @param all the entries of the list
+	 * @param now the current time in milliseconds
 	 */
 	public void replaceAll(Collection<Listing> all, long now) {
 		together(() -> replace(all, now));
 	}
 
 	private void replace(Collection<Listing> all, long now) {
-		// Of two that are both new it isn't known which was listed first.
+		// The order in which two new targets were listed at one address is not known.
 		List<ListedTarget> known = List.copyOf(this.targets.values());
 		Set<String> listed = new HashSet<>();
 		for (Listing listing : all) {
 			listed.add(listing.target().id());
-			if (!isDoubted(listing, now)) {
-				take(listing, known);
+			if (!holdIfStale(listing, now)) {
+				apply(listing, known);
 			}
 		}
-		this.readsCopy = false;
-		this.doubted.keySet().retainAll(listed);
+		this.readingOlderCopy = false;
+		this.staleEntries.keySet().retainAll(listed);
 		for (String id : List.copyOf(this.targets.keySet())) {
 			if (!listed.contains(id)) {
 				remove(id, now);
@@ -264,92 +267,92 @@
 		}
 	}
 
-	// An older copy may hold runs that have ended since. Those that live are written
-	// again, which is heard as a change of its own.
-	private boolean isDoubted(Listing listing, long now) {
+	// An older copy of the list may hold incarnations that have ended since. Live ones
+	// write their entries again, which arrives as a separate change.
+	private boolean holdIfStale(Listing listing, long now) {
 		String id = listing.target().id();
-		if (listing.equals(this.doubted.get(id))) {
+		if (listing.equals(this.staleEntries.get(id))) {
 			return true;
 		}
-		this.doubted.remove(id);
-		boolean isBroughtBack = this.readsCopy && !this.targets.containsKey(id)
-				&& this.endedRuns.contains(listing.target().run());
-		if (isBroughtBack) {
-			this.doubted.put(id, listing);
-			this.timers.at(now + COPY_DOUBTED_MILLIS, (t) -> believe(listing));
+		this.staleEntries.remove(id);
+		boolean isStale = this.readingOlderCopy && !this.targets.containsKey(id)
+				&& this.endedIncarnations.contains(listing.target().run());
+		if (isStale) {
+			this.staleEntries.put(id, listing);
+			this.timers.at(now + STALE_HOLD_MILLIS, (t) -> releaseStale(listing));
 		}
-		return isBroughtBack;
+		return isStale;
 	}
 
-	private void believe(Listing listing) {
-		if (this.doubted.remove(listing.target().id(), listing)) {
+	private void releaseStale(Listing listing) {
+		if (this.staleEntries.remove(listing.target().id(), listing)) {
 			put(listing);
 		}
 	}
 
 	/**
-	 * Take that the list is read next as it stood some time ago. What it lacks counts as
-	 * lapsed, and runs that have ended are not brought back by it.
-	 * @param now the time in milliseconds
+	 * Record that the next read of the list is that of an older copy. Entries that it
+	 * lacks count as expired, and its ended incarnations are not restored.
+	 * @param now the current time in milliseconds
 	 */
 	public void historyReplaced(long now) {
-		this.readsCopy = true;
+		this.readingOlderCopy = true;
 		regained(now);
 	}
 
 	/**
-	 * Take that a target itself showed that it takes no new work.
-	 * @param run the run of the target that showed it
+	 * Handle a target's rejection of a request because it accepts no new ones.
+	 * @param run the incarnation that rejected the request
 	 */
 	public void refusedWork(TargetRun run) {
-		leaves(run, LeavingCause.REFUSED);
+		markDraining(run, LeavingCause.REFUSED);
 	}
 
 	/**
-	 * Take that a target said that it is leaving, to this process or to another.
-	 * @param run the run of the target that said it
+	 * Handle a target's report that it is draining, made to this process or to another.
+	 * @param run the incarnation that is draining
 	 */
 	public void saidLeaving(TargetRun run) {
-		leaves(run, LeavingCause.SAID_SO_WHEN_ASKED);
+		markDraining(run, LeavingCause.SAID_SO_WHEN_ASKED);
 	}
 
-	private void leaves(TargetRun run, LeavingCause cause) {
-		find(run.id()).filter((t) -> t.run().equals(run) && this.left.add(run.id()))
-			.ifPresent((t) -> tell(() -> this.listener.leaving(t, cause)));
+	private void markDraining(TargetRun run, LeavingCause cause) {
+		find(run.id()).filter((t) -> t.run().equals(run) && this.draining.add(run.id()))
+			.ifPresent((t) -> notifyListener(() -> this.listener.leaving(t, cause)));
 	}
 
-	private void dropLapsed(long now) {
+	private void dropExpired(long now) {
 		together(() -> {
-			for (Map.Entry<String, Long> lapsed : List.copyOf(this.lapsedUntil.entrySet())) {
-				if (now >= lapsed.getValue()) {
-					this.lapsedUntil.remove(lapsed.getKey());
-					find(lapsed.getKey()).ifPresent((t) -> drop(t, LeavingCause.LAPSED));
+			for (Map.Entry<String, Long> expired : List.copyOf(this.expiryDeadlines.entrySet())) {
+				if (now >= expired.getValue()) {
+					this.expiryDeadlines.remove(expired.getKey());
+					find(expired.getKey()).ifPresent((t) -> drop(t, LeavingCause.LAPSED));
 				}
 			}
 		});
 	}
 
 	/**
-	 * Return how many targets lapsed and may still come back.
-	 * @return the count
+	 * Return the number of targets whose entries expired and may still be written again.
+	 * @return the number of targets
 	 */
 	public int lapsed() {
-		return this.lapsedUntil.size();
+		return this.expiryDeadlines.size();
 	}
 
 	/**
-	 * Return the targets of a service that take new work.
+	 * Return the targets of a service that accept new requests.
 	 * @param service the service's name
-	 * @return the targets, without those in data centres that are evacuated
+	 * @return the targets, without evacuated and withheld ones
 	 */
 	public List<ListedTarget> serving(String service) {
 		return staying(service).stream().filter((t) -> !this.evacuations.holdsFor(t)).toList();
 	}
 
 	/**
-	 * Return the targets of a service that are not leaving.
+	 * Return the targets of a service that are not draining.
 	 * @param service the service's name
-	 * @return the targets, those in data centres that are evacuated included
+	 * @return the targets, including evacuated and withheld ones
 	 */
 	public List<ListedTarget> staying(String service) {
 		List<ListedTarget> found = new ArrayList<>();
@@ -362,100 +365,100 @@
 	}
 
 	/**
-	 * Return whether a target is known and takes new work.
+	 * Determine whether a target is known and accepts new requests.
 	 * @param id the target's id
-	 * @return whether work may be sent to it
+	 * @return {@code true} if it is neither draining nor evacuated nor withheld
 	 */
 	public boolean takesWork(String id) {
 		return isStaying(id) && !this.evacuations.holdsFor(this.targets.get(id));
 	}
 
 	/**
-	 * Return whether a target is known and is not leaving, so that it goes on with what
-	 * it runs.
+	 * Determine whether a target is known and not draining, so that it continues the
+	 * requests that it executes.
 	 * @param id the target's id
-	 * @return whether it stays; one in a data centre that is evacuated may stay and yet
-	 * take no work
+	 * @return {@code true} also for an evacuated target, which accepts no new requests
 	 */
 	public boolean isStaying(String id) {
-		return this.targets.containsKey(id) && !this.left.contains(id);
+		return this.targets.containsKey(id) && !this.draining.contains(id);
 	}
 
 	/**
-	 * Return whether the run of a target is the one that is known, and takes new work.
+	 * Determine whether the incarnation of a target is the known one and accepts new
+	 * requests.
 	 * @param target the target
-	 * @return whether work may be sent to it
+	 * @return {@code true} if requests may be sent to it
 	 */
 	public boolean takesWork(ListedTarget target) {
 		return isKnownRun(target) && takesWork(target.id());
 	}
 
 	/**
-	 * Return whether the run of a target is the one that is known, and is not leaving.
+	 * Determine whether the incarnation of a target is the known one and not draining.
 	 * @param target the target
-	 * @return whether it stays
+	 * @return {@code true} if it continues the requests that it executes
 	 */
 	public boolean isStaying(ListedTarget target) {
 		return isKnownRun(target) && isStaying(target.id());
 	}
 
 	/**
-	 * Return whether the run of a target is the one that is known.
+	 * Determine whether the incarnation of a target is the known one.
 	 * @param target the target
-	 * @return {@code false} if it is gone, or has started again
+	 * @return {@code false} if it is gone or has been replaced
 	 */
 	public boolean isKnownRun(ListedTarget target) {
 		return find(target.id()).filter((k) -> k.isSameRun(target)).isPresent();
 	}
 
 	/**
-	 * Return whether a run of a target is the one that is known.
-	 * @param run the run
-	 * @return {@code false} if it is gone, not heard of yet, or another one is listed
+	 * Determine whether an incarnation of a target is the known one.
+	 * @param run the incarnation
+	 * @return {@code false} if it is gone, not yet listed or has been replaced
 	 */
 	public boolean isKnownRun(TargetRun run) {
 		return find(run.id()).filter((k) -> k.run().equals(run)).isPresent();
 	}
 
 	/**
-	 * Return whether a target is known to have started again, so that nothing of its
-	 * former run is left.
+	 * Determine whether the incarnation of a target has been replaced, so that nothing of
+	 * it is left.
 	 * @param target the target
-	 * @return whether another run of it is listed
+	 * @return {@code true} if another incarnation is known
 	 */
 	public boolean isFormerRun(ListedTarget target) {
 		return find(target.id()).filter((k) -> !k.isSameRun(target)).isPresent();
 	}
 
 	/**
-	 * Return whether a target is in a data centre that is evacuated.
+	 * Determine whether a target is withheld or in an evacuated data centre.
 	 * @param target the target
-	 * @return whether nothing may be sent to it
+	 * @return {@code true} if it must not be sent requests
 	 */
 	public boolean isEvacuated(ListedTarget target) {
 		return this.evacuations.holdsFor(target);
 	}
 
 	/**
-	 * Return a target that is listed or was when it was last heard of.
+	 * Return a known target, which may be draining.
 	 * @param id the target's id
-	 * @return the target
+	 * @return the target, or empty if it is not known
 	 */
 	public Optional<ListedTarget> find(String id) {
 		return Optional.ofNullable(this.targets.get(id));
 	}
 
 	/**
-	 * Return all targets that are known.
-	 * @return the targets, those that are leaving included
+	 * Return all known targets.
+	 * @return the targets, including draining ones
 	 */
 	public List<ListedTarget> all() {
 		return List.copyOf(this.targets.values());
 	}
 
 	/**
-	 * Return how many targets are known.
-	 * @return the count, those that are leaving included
+	 * Return the number of known targets.
+	 * @return the number of targets, including draining ones
 	 */
 	public int size() {
 		return this.targets.size();
@@ -463,19 +466,19 @@
 
 	private void drop(ListedTarget target, LeavingCause cause) {
 		this.targets.remove(target.id());
-		this.endedRuns.add(target);
-		if (!this.left.remove(target.id())) {
-			tell(() -> this.listener.leaving(target, cause));
+		this.endedIncarnations.add(target);
+		if (!this.draining.remove(target.id())) {
+			notifyListener(() -> this.listener.leaving(target, cause));
 		}
-		tell(() -> this.listener.gone(target));
+		notifyListener(() -> this.listener.gone(target));
 	}
 
-	private void tell(Runnable news) {
-		if (this.changesUnderWay > 0) {
-			this.untold.add(news);
+	private void notifyListener(Runnable notification) {
+		if (this.batchDepth > 0) {
+			this.pendingNotifications.add(notification);
 		}
 		else {
-			news.run();
+			notification.run();
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetRun.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetRun.java
@@ -4,16 +4,16 @@
 import java.util.OptionalLong;
 
 /**
- * One run of a target, from its start to its end: its incarnation.
+ * One incarnation of a target, from its start to its end.
  * <p>
- * A target may start again under the id that it had. Another run holds and knows nothing
- * of the one before it, so that whatever is believed of a target is believed of one run.
- * The start time tells runs apart and does not order them, since a machine's time of day
- * may step back between two starts.
+ * A target may restart under the same id. A new incarnation has none of the former one's
+ * state, so state recorded for a target always belongs to one incarnation. The start time
+ * distinguishes incarnations but does not order them, since a machine's clock may be set
+ * back between two starts.
  *
  * @param id the target's id
- * @param startMillis when the run started, in milliseconds of the target's own time of
- * day; empty where that is not known
+ * @param startMillis the start time in milliseconds of the target's own clock; empty if
+ * it is not known
  * @since 0.3
  */
 public record TargetRun(String id, OptionalLong startMillis) {
@@ -24,19 +24,19 @@
 	}
 
 	/**
-	 * Return the run of a target that does not tell when it started.
+	 * Create the incarnation of a target that does not report its start time.
 	 * @param id the target's id
-	 * @return the run
+	 * @return the incarnation
 	 */
 	public static TargetRun of(String id) {
 		return new TargetRun(id, OptionalLong.empty());
 	}
 
 	/**
-	 * Return the run of a target that tells when it started.
+	 * Create the incarnation of a target that reports its start time.
 	 * @param id the target's id
-	 * @param startMillis when it started, in milliseconds of its own time of day
-	 * @return the run
+	 * @param startMillis the start time in milliseconds of the target's own clock
+	 * @return the incarnation
 	 */
 	public static TargetRun of(String id, long startMillis) {
 		return new TargetRun(id, OptionalLong.of(startMillis));
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The targets that list themselves, and which of them are leaving.
+ * The targets known from the list of targets, and which of them are draining.
  */
 package dev.laneworks.core.directory;
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentNode.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentNode.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * A value of a document with its line.
+ * A value in a document, with the line on which it starts.
  */
 sealed interface DocumentNode {
 
@@ -15,16 +15,16 @@
 	int line();
 
 	/**
-	 * Return what the value is, for messages.
-	 * @return a noun with its article
+	 * Describe the value for error messages.
+	 * @return the type and, for simple values, the content
 	 */
 	String description();
 
 	/**
 	 * An object.
 	 *
-	 * @param line the line
-	 * @param members the members in their order
+	 * @param line the line on which it starts, from 1
+	 * @param members the members in the document's order
 	 */
 	record ObjectNode(int line, Map<String, DocumentNode> members) implements DocumentNode {
 
@@ -38,8 +38,8 @@
 	/**
 	 * An array.
 	 *
-	 * @param line the line
-	 * @param elements the elements
+	 * @param line the line on which it starts, from 1
+	 * @param elements the elements in the document's order
 	 */
 	record ArrayNode(int line, List<DocumentNode> elements) implements DocumentNode {
 
@@ -53,8 +53,8 @@
 	/**
 	 * A string.
 	 *
-	 * @param line the line
-	 * @param value the value
+	 * @param line the line on which it starts, from 1
+	 * @param value the string without quotes
 	 */
 	record TextNode(int line, String value) implements DocumentNode {
 
@@ -68,8 +68,8 @@
 	/**
 	 * A number.
 	 *
-	 * @param line the line
-	 * @param text the number as written
+	 * @param line the line on which it starts, from 1
+	 * @param text the number as written in the document
 	 */
 	record NumberNode(int line, String text) implements DocumentNode {
 
@@ -81,10 +81,10 @@
 	}
 
 	/**
-	 * A truth value.
+	 * A boolean.
 	 *
-	 * @param line the line
-	 * @param value the value
+	 * @param line the line on which it starts, from 1
+	 * @param value the boolean
 	 */
 	record BooleanNode(int line, boolean value) implements DocumentNode {
 
@@ -98,7 +98,7 @@
 	/**
 	 * A null.
 	 *
-	 * @param line the line
+	 * @param line the line on which it starts, from 1
 	 */
 	record NullNode(int line) implements DocumentNode {
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentObject.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentObject.java
@@ -13,11 +13,12 @@
 import java.util.regex.Pattern;
 
 /**
- * An object of a document, read member by member.
+ * An object in a document, read member by member.
  * <p>
- * Every method throws {@link InvalidDocumentException} with the line and path of the
- * setting when its value is not allowed. Members that no method asked for are unknown,
- * which {@link #end()} reports. Not thread-safe.
+ * A method that finds an invalid value records the fault with its line and path and
+ * returns a placeholder, so that reading continues and all faults are reported at once.
+ * Members that no method has read are unknown, which {@link #end()} reports. Not
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -27,7 +28,7 @@
 
 	private static final Pattern SIZE = Pattern.compile("(\\d{1,9})(B|KiB|MiB|GiB)");
 
-	/** Stands in for a text that is missing or wrong. */
+	/** Replaces a string that is missing or invalid. */
 	private static final String PLACEHOLDER = "?";
 
 	private final String source;
@@ -36,11 +37,11 @@
 
 	private final DocumentNode.ObjectNode node;
 
-	private final Set<String> known = new LinkedHashSet<>();
+	private final Set<String> requestedMembers = new LinkedHashSet<>();
 
 	private final List<DocumentObject> children = new ArrayList<>();
 
-	/** All faults found in the document so far, shared by its objects. */
+	/** All faults found in the document so far, shared by all its objects. */
 	private final List<InvalidDocumentException> faults;
 
 	DocumentObject(String source, String path, DocumentNode.ObjectNode node, List<InvalidDocumentException> faults) {
@@ -59,10 +60,10 @@
 	}
 
 	/**
-	 * Create an exception about a member of this object.
+	 * Create an exception about a member of this object, without recording it.
 	 * @param name the member's name
 	 * @param problem what is wrong and what is allowed
-	 * @return the exception, to be thrown
+	 * @return the exception to throw
 	 */
 	public InvalidDocumentException invalid(String name, String problem) {
 		DocumentNode member = this.node.members().get(name);
@@ -71,11 +72,13 @@
 	}
 
 	/**
-	 * Record that a member is invalid, so that reading goes on and finds other faults.
-	 * @param <T> the type of value
+	 * Record that a member is invalid, so that reading continues and finds further
+	 * faults.
+	 * @param <T> the type of the value
 	 * @param name the member's name
 	 * @param problem what is wrong and what is allowed
-	 * @param placeholder what to go on with; the document's value is never used
+	 * @param placeholder the value to continue with; the result of an invalid document is
+	 * discarded
 	 * @return the placeholder
 	 */
 	public <T> T invalid(String name, String problem, T placeholder) {
@@ -83,12 +86,12 @@
 	}
 
 	/**
-	 * Return whether a member is present.
+	 * Determine whether a member is present.
 	 * @param name the member's name
 	 * @return {@code true} if it is present and not null
 	 */
 	public boolean has(String name) {
-		this.known.add(name);
+		this.requestedMembers.add(name);
 		DocumentNode member = this.node.members().get(name);
 		return member != null && !(member instanceof DocumentNode.NullNode);
 	}
@@ -119,7 +122,7 @@
 	}
 
 	/**
-	 * Read a string with a fallback.
+	 * Read a string with a default.
 	 * @param name the member's name
 	 * @param fallback the value if the member is missing
 	 * @return the string
@@ -129,10 +132,10 @@
 	}
 
 	/**
-	 * Read a whole number that must be present.
+	 * Read a required integer.
 	 * @param name the member's name
-	 * @param min the least value allowed
-	 * @param max the greatest value allowed
+	 * @param min the smallest allowed value
+	 * @param max the largest allowed value
 	 * @return the number
 	 */
 	public long integer(String name, long min, long max) {
@@ -155,10 +158,10 @@
 	}
 
 	/**
-	 * Read a whole number with a fallback.
+	 * Read an integer with a default.
 	 * @param name the member's name
-	 * @param min the least value allowed
-	 * @param max the greatest value allowed
+	 * @param min the smallest allowed value
+	 * @param max the largest allowed value
 	 * @param fallback the value if the member is missing
 	 * @return the number
 	 */
@@ -167,10 +170,10 @@
 	}
 
 	/**
-	 * Read a number with a fallback.
+	 * Read a number with a default.
 	 * @param name the member's name
-	 * @param min the least value allowed
-	 * @param max the greatest value allowed
+	 * @param min the smallest allowed value
+	 * @param max the largest allowed value
 	 * @param fallback the value if the member is missing
 	 * @return the number
 	 */
@@ -191,10 +194,10 @@
 	}
 
 	/**
-	 * Read a truth value with a fallback.
+	 * Read a boolean with a default.
 	 * @param name the member's name
 	 * @param fallback the value if the member is missing
-	 * @return the value
+	 * @return the boolean
 	 */
 	public boolean bool(String name, boolean fallback) {
 		if (!has(name)) {
@@ -211,8 +214,8 @@
 	 * Read a duration such as {@code "250ms"}, {@code "5s"}, {@code "10m"}, {@code "1h"}
 	 * or {@code "1d"}.
 	 * @param name the member's name
-	 * @param min the least value allowed
-	 * @param max the greatest value allowed
+	 * @param min the smallest allowed value
+	 * @param max the largest allowed value
 	 * @param fallback the value if the member is missing
 	 * @return the duration
 	 */
@@ -239,9 +242,9 @@
 	/**
 	 * Read a size in bytes such as {@code "512B"}, {@code "64KiB"} or {@code "1MiB"}.
 	 * @param name the member's name
-	 * @param min the least value allowed, in bytes
-	 * @param max the greatest value allowed, in bytes
-	 * @param fallback the value if the member is missing, in bytes
+	 * @param min the smallest allowed value in bytes
+	 * @param max the largest allowed value in bytes
+	 * @param fallback the value in bytes if the member is missing
 	 * @return the size in bytes
 	 */
 	public long size(String name, long min, long max, long fallback) {
@@ -265,12 +268,12 @@
 	}
 
 	/**
-	 * Read one of a few words, written in lower case with hyphens.
-	 * @param <E> the type
+	 * Read an enum constant, written in lower case with hyphens.
+	 * @param <E> the enum type
 	 * @param name the member's name
-	 * @param type the words
+	 * @param type the class of the enum
 	 * @param fallback the value if the member is missing
-	 * @return the word
+	 * @return the constant
 	 */
 	public <E extends Enum<E>> E word(String name, Class<E> type, E fallback) {
 		if (!has(name)) {
@@ -286,7 +289,7 @@
 	}
 
 	/**
-	 * Read an object that may be missing; a missing one reads as empty.
+	 * Read an object. A missing one reads as empty.
 	 * @param name the member's name
 	 * @return the object
 	 */
@@ -297,9 +300,9 @@
 	}
 
 	/**
-	 * Read an array of objects; a missing one reads as empty.
+	 * Read an array of objects. A missing one reads as empty.
 	 * @param name the member's name
-	 * @return the objects
+	 * @return the objects in the document's order
 	 */
 	public List<DocumentObject> objects(String name) {
 		List<DocumentObject> objects = new ArrayList<>();
@@ -311,9 +314,9 @@
 	}
 
 	/**
-	 * Read an array of strings; a missing one reads as empty.
+	 * Read an array of strings. A missing one reads as empty.
 	 * @param name the member's name
-	 * @return the strings
+	 * @return the strings in the document's order
 	 */
 	public List<String> texts(String name) {
 		List<String> texts = new ArrayList<>();
@@ -327,19 +330,20 @@
 	}
 
 	/**
-	 * Check that every member of this object and of those read from it was asked for.
+	 * Record a fault for each member of this object, and of the objects read from it,
+	 * that no method has read.
 	 */
 	public void end() {
 		for (var member : this.node.members().entrySet()) {
-			if (!this.known.contains(member.getKey())) {
-				record(invalid(member.getKey(), "is unknown; allowed here: " + String.join(", ", this.known)));
+			if (!this.requestedMembers.contains(member.getKey())) {
+				record(invalid(member.getKey(),
+						"is unknown; allowed here: " + String.join(", ", this.requestedMembers)));
 			}
 		}
 		this.children.forEach(DocumentObject::end);
 	}
 
-	// An object in the place of one that is wrong is empty and never looked at for
-	// faults.
+	// The placeholder of an invalid object is empty, and its faults are discarded.
 	private DocumentObject child(String name, String childName, DocumentNode member) {
 		if (!(member instanceof DocumentNode.ObjectNode object)) {
 			DocumentNode.ObjectNode empty = new DocumentNode.ObjectNode(member.line(), Map.of());
@@ -371,7 +375,7 @@
 		return placeholder;
 	}
 
-	// A setting that is wrong is told once.
+	// Each setting is reported once.
 	private void record(InvalidDocumentException fault) {
 		if (this.faults.stream().noneMatch((f) -> f.getSetting().equals(fault.getSetting()))) {
 			this.faults.add(fault);
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentReader.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentReader.java
@@ -15,7 +15,7 @@
 import io.vavr.control.Either;
 
 /**
- * Reads JSON with comments and trailing commas, keeping the line of each value.
+ * Reads JSON with comments and trailing commas, and keeps the line of each value.
  *
  * @since 0.1
  */
@@ -30,13 +30,13 @@
 	}
 
 	/**
-	 * Read a document whose top value is an object.
-	 * @param <T> the type read
-	 * @param source the document's name, for messages
+	 * Read a document whose top-level value is an object.
+	 * @param <T> the type of the result
+	 * @param source the document's name, for error messages
 	 * @param text the document
-	 * @param mapping turns the object into the type; {@link DocumentObject#end()} is
-	 * called after it
-	 * @return the value, or all faults that were found in one exception
+	 * @param mapping creates the result from the object; unknown members are checked
+	 * after it
+	 * @return the result, or one exception with all faults
 	 */
 	public static <T> Either<InvalidDocumentException, T> read(String source, String text,
 			Function<DocumentObject, T> mapping) {
@@ -51,7 +51,7 @@
 			addUnlessConsequence(faults, ex);
 		}
 		catch (IllegalArgumentException ex) {
-			// A type's own check of a placeholder; the fault behind it was recorded.
+			// Thrown for a placeholder, whose fault was recorded before.
 			if (faults.isEmpty()) {
 				throw ex;
 			}
@@ -59,8 +59,8 @@
 		return faults.isEmpty() ? Either.right(value) : Either.left(InvalidDocumentException.of(faults));
 	}
 
-	// What is thrown behind other faults may rest on a placeholder; it is told once those
-	// are mended.
+	// An exception after other faults may be caused by a placeholder. If it is not, it
+	// is thrown again once those are corrected.
 	private static void addUnlessConsequence(List<InvalidDocumentException> faults, InvalidDocumentException thrown) {
 		if (faults.isEmpty()) {
 			faults.add(thrown);
@@ -88,7 +88,7 @@
 			throw new InvalidDocumentException(source, line, "document", "is not JSON: " + ex.getOriginalMessage());
 		}
 		catch (IOException ex) {
-			throw new InvalidDocumentException(source, 1, "document", "can't be read: " + ex.getMessage());
+			throw new InvalidDocumentException(source, 1, "document", "cannot be read: " + ex.getMessage());
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/InvalidDocumentException.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/InvalidDocumentException.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Thrown when a document is not what its reader allows.
+ * Thrown when a document is malformed or contains an invalid setting.
  *
  * @since 0.1
  */
@@ -20,7 +20,7 @@
 	/**
 	 * Create an exception.
 	 * @param source the document's name
-	 * @param line the line, from 1
+	 * @param line the line of the fault, from 1
 	 * @param setting the path of the setting
 	 * @param problem what is wrong and what is allowed
 	 */
@@ -39,8 +39,9 @@
 	}
 
 	/**
-	 * Put all faults of a document into one exception: a line each in its message, in the
-	 * order of the document's lines. Its other details are those of the first.
+	 * Combine all faults of a document into one exception. Its message has a line for
+	 * each fault in the order of the document, and its other properties are those of the
+	 * first.
 	 * @param faults the faults, at least one
 	 * @return the exception
 	 */
@@ -53,7 +54,7 @@
 	}
 
 	/**
-	 * Return the document's name, for embedders that show faults in a form of their own;
+	 * Return the document's name, for applications that format faults themselves;
 	 * {@link #getMessage()} begins with it.
 	 * @return a file name or the name of a service
 	 */
@@ -62,7 +63,7 @@
 	}
 
 	/**
-	 * Return where the fault is.
+	 * Return the line of the fault.
 	 * @return the line, from 1
 	 */
 	public int getLine() {
@@ -70,7 +71,7 @@
 	}
 
 	/**
-	 * Return which setting is at fault.
+	 * Return the path of the invalid setting.
 	 * @return a path such as {@code limits.body}
 	 */
 	public String getSetting() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reads JSON with comments into values that know their line.
+ * Reading of JSON with comments into values that keep their line.
  */
 package dev.laneworks.core.document;
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/FollowListener.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/FollowListener.java
@@ -3,78 +3,80 @@
 import java.util.List;
 
 /**
- * Hears of a store's items.
+ * Receives the items of a store and changes to them from a {@link StoreFollower}.
  *
  * @since 0.2
  */
 public interface FollowListener {
 
 	/**
-	 * Take all items, read anew.
-	 * @param items the items
-	 * @param now the time in milliseconds
+	 * Handle a new read of all items.
+	 * @param items the items, which replace all earlier ones
+	 * @param now the current time in milliseconds
 	 */
 	void all(List<StoreItem> items, long now);
 
 	/**
-	 * Take changes in the order in which they were made.
-	 * @param changes the changes
-	 * @param now the time in milliseconds
+	 * Handle changes.
+	 * @param changes the changes; those received from other processes may arrive ahead of
+	 * earlier ones
+	 * @param now the current time in milliseconds
 	 */
 	void changed(List<StoreChange> changes, long now);
 
 	/**
-	 * Hear what a reading of all items found that this process had not heard of, before
-	 * the items are passed on.
-	 * @param missed the changes, as if made at the revision that was read
+	 * Handle the differences that a read of all items found, before {@link #all} is
+	 * called.
+	 * @param missed the differences, as changes at the revision that was read
 	 */
 	void missed(List<StoreChange> missed);
 
 	/**
-	 * Hear that others know of changes that this process has not read yet, the first time
-	 * and when it has caught up.
-	 * @param known the revision up to which this process knows all changes
-	 * @param told the revision that others told of
+	 * Handle that other processes have changes that this one lacks. Called once each time
+	 * this process falls behind.
+	 * @param known the revision up to which this process has all changes
+	 * @param reported the revision that another process reported
 	 */
-	void behind(long known, long told);
+	void behind(long known, long reported);
 
 	/**
-	 * Hear that the store has come back from an older copy, before all its items are
-	 * given. What it lacks may be written again soon; what it holds may be outdated.
-	 * @param known the position up to which it was known before
+	 * Handle that the store was restored from an older copy, before {@link #all} is
+	 * called. Items that it lacks may soon be written again, and those it holds may be
+	 * outdated.
+	 * @param known the position known before
 	 * @param at the position that is read now
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	void historyReplaced(long known, long at, long now);
 
 	/**
-	 * Hear that the store is out of reach.
-	 * @param cause what was seen
+	 * Handle that the store has become unreachable.
+	 * @param cause the cause of the failed call
 	 */
 	void lost(String cause);
 
 	/**
-	 * Take that a change which others know of is asked for anew, since nothing of an
-	 * answer arrived.
-	 * @param inARow how often that was so in a row
-	 * @param waitedMillis how long an answer was waited for, in milliseconds
+	 * Handle that an overdue watch was restarted because it returned nothing of a change
+	 * that other processes have.
+	 * @param consecutive the number of consecutive overdue watches
+	 * @param waitedMillis how long the watch was idle, in milliseconds
 	 */
-	void askedAnew(int inARow, long waitedMillis);
+	void askedAnew(int consecutive, long waitedMillis);
 
 	/**
-	 * Hear that the store is back for others though not yet for this process, before what
-	 * they tell is passed on.
-	 * @param now the time in milliseconds
+	 * Handle that the store is reachable again for other processes but not yet for this
+	 * one, before their changes are passed on.
+	 * @param now the current time in milliseconds
 	 */
 	void returnHeard(long now);
 
 	/**
-	 * Hear that the store is within reach again, before its answer is passed on.
-	 * @param awayMillis how long it was out of reach, in milliseconds
-	 * @param mayHaveBeenAway whether the store itself may have been away, for long enough
-	 * that entries lapsed whose targets are well; {@code false} where others heard it all
-	 * the while
-	 * @param now the time in milliseconds
+	 * Handle that the store is reachable again, before its answer is passed on.
+	 * @param awayMillis how long it was unreachable, in milliseconds
+	 * @param mayHaveBeenAway whether the store itself may have been down for long enough
+	 * that entries of healthy targets expired; {@code false} if other processes reached
+	 * it throughout
+	 * @param now the current time in milliseconds
 	 */
 	void regained(long awayMillis, boolean mayHaveBeenAway, long now);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/FollowOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/FollowOutputs.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The calls that a {@link StoreFollower} makes.
+ * Makes the calls of a {@link StoreFollower} to the store.
  *
  * @since 0.2
  */
@@ -11,28 +11,28 @@
 
 	/**
 	 * Read a page of items.
-	 * @param call the number of the call, to be given back with its answer
-	 * @param afterKey the last key of the page before, if there was one
+	 * @param call the number of the call, returned with its answer
+	 * @param afterKey the last key of the previous page; empty for the first page
 	 */
 	void readPage(long call, Optional<String> afterKey);
 
 	/**
 	 * Wait for changes.
-	 * @param call the number of the call, to be given back with its answer
-	 * @param revision the revision that was seen last
+	 * @param call the number of the call, returned with its answer
+	 * @param revision the revision after which changes are requested
 	 * @param waitMillis how long the store may hold the call, in milliseconds
 	 */
 	void watch(long call, long revision, long waitMillis);
 
 	/**
-	 * Ask for a sign of life, on a connection of its own and as cheaply as the store
-	 * offers it. Any answer but a refusal is told to {@link StoreFollower#probed}, with
-	 * the revision that it names; no answer is told by nothing.
+	 * Probe the store on a connection of its own, with the cheapest request that it
+	 * offers. Any answer except a rejection is reported to {@link StoreFollower#probed}
+	 * with the revision that it names. A failure is not reported.
 	 */
 	void probe();
 
 	/**
-	 * Give the open call up.
+	 * Cancel the open call.
 	 */
 	void abandon();
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedReading.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedReading.java
@@ -13,58 +13,58 @@
 import dev.laneworks.core.routing.Rendezvous;
 
 /**
- * Shares the reading of a store among the processes of one group, such as a data centre,
+ * Shares the watch on a store among the processes of one group, such as a data centre,
  * and among groups.
  * <p>
- * Whoever reads tells the group what it read, and now and then that it still does. A
- * process that hears a reader of higher rank leaves the reading to it, so that one reader
- * remains; when that one has been silent for a few signs of life, or is behind, the
- * others read for themselves, and again one of them remains. The reader of a group in
- * turn leaves the reading to that of another group which ranks higher among all, and
- * passes on to its own group what it hears from there: calls don't grow with the groups,
- * and news between them go to two processes of each. No process is elected and none has
- * to agree: two readers at once cost calls and nothing else. Changes are told to all near
- * by even where each reads for itself: a process that the store turns away hears of them
- * so, and may ask for those that it missed. Not thread-safe.
+ * A watcher sends the changes that it reads, and heartbeats, to the other processes of
+ * its group. A process that receives updates from a watcher of higher rank stops
+ * watching, so that one watcher remains per group. If the watcher falls silent or behind,
+ * the others watch the store themselves until one remains again. A group's watcher in
+ * turn stops in favour of a higher-ranked watcher of another group and forwards that
+ * one's updates to its own group. The number of calls to the store therefore does not
+ * grow with the number of groups, and an update between groups is sent to
+ * {@value #TOLD_IN_EACH_GROUP} processes of each. There is no election: two watchers at
+ * once only cost additional calls. Changes are sent to the own group even where each
+ * process watches for itself, so that a process that the store rejects still receives
+ * them. It can also request the changes that it missed. Not thread-safe.
  *
  * @since 0.2
  */
 public final class SharedReading {
 
-	/** How often a reader gives a sign of life, in milliseconds. */
+	/** The interval between heartbeats of a watcher, in milliseconds. */
 	public static final long SIGN_MILLIS = 150;
 
 	/**
-	 * After how long without a word a reader is taken for gone, in milliseconds; three
-	 * signs of life, of which two may be lost.
+	 * How long after its last message a watcher counts as gone, in milliseconds;
+	 * tolerates the loss of two heartbeats.
 	 */
-	private static final long SILENCE_MILLIS = 480;
+	private static final long WATCHER_TIMEOUT_MILLIS = 480;
 
 	/**
-	 * With fewer others than this each process reads for itself: a reader that goes deaf
-	 * would cost more than the calls saved.
+	 * The fewest other processes with which the watch is shared. In a smaller group the
+	 * calls saved do not outweigh the delay of detecting a failed watcher.
 	 */
-	private static final int FEWEST_OTHERS = 3;
+	private static final int MIN_OTHERS = 3;
 
 	/**
-	 * How many processes of each other group are told by a reader: the one that passes
-	 * news on, and the one that would take its place.
+	 * The number of processes of each other group that receive a watcher's updates: the
+	 * one that forwards them, and its successor.
 	 */
 	public static final int TOLD_IN_EACH_GROUP = 2;
 
-	/** What the readers of all groups are ranked by. */
+	/** The key by which the watchers of all groups are ranked. */
 	static final String ALL_GROUPS = "all groups";
 
 	private static final long ALL_GROUPS_KEY = Rendezvous.hash(ALL_GROUPS);
 
-	/** The least time between two questions, in milliseconds. */
-	private static final long ASK_MILLIS = 300;
+	/** The shortest time between two requests for missed changes, in milliseconds. */
+	private static final long REQUEST_INTERVAL_MILLIS = 300;
 
 	/**
-	 * The most changes remembered for those who ask; the store itself keeps twenty
-	 * seconds, in which a fleet of sixty targets makes fewer.
+	 * The most changes kept to answer requests.
 	 */
-	private static final int MOST_REMEMBERED = 200;
+	private static final int MAX_RECORDED = 200;
 
 	private final String instance;
 
@@ -72,240 +72,246 @@
 
 	private final long groupKey;
 
-	private final Consumer<StoreNews> teller;
+	private final Consumer<StoreNews> localSender;
 
-	private final Consumer<StoreNews> distantTeller;
+	private final Consumer<StoreNews> remoteSender;
 
-	private final IntSupplier others;
+	private final IntSupplier otherCount;
 
-	/** The processes of this group that read, or pass on what others read. */
-	private final Map<String, Heard> readers = new HashMap<>();
+	/** The processes of this group that watch the store or forward updates, by name. */
+	private final Map<String, LastUpdate> localWatchers = new HashMap<>();
 
-	/** The processes of other groups that read the store themselves. */
-	private final Map<String, Heard> distantReaders = new HashMap<>();
+	/** The processes of other groups that watch the store themselves, by name. */
+	private final Map<String, LastUpdate> remoteWatchers = new HashMap<>();
 
-	/** The changes that this process read or passed on, without a gap behind readFrom. */
-	private final Deque<StoreChange> read = new ArrayDeque<>();
+	/**
+	 * The changes that this process read or received, complete from {@code recordedFrom}
+	 * to {@code recordedTo}.
+	 */
+	private final Deque<StoreChange> recorded = new ArrayDeque<>();
 
-	private long readFrom;
+	private long recordedFrom;
 
-	private long readTo = -1;
+	private long recordedTo = -1;
 
-	private long askedAt = Long.MIN_VALUE / 2;
+	private long requestedAt = Long.MIN_VALUE / 2;
 
 	/**
-	 * Create a process's part.
-	 * @param instance the process's name
-	 * @param group the name of the group
-	 * @param others tells how many other processes of the group are known
-	 * @param teller sends news to the other processes of the group
-	 * @param distantTeller sends news to {@link #TOLD_IN_EACH_GROUP} processes of each
-	 * other group, the first ones by {@link #rank}
+	 * Create the part of one process.
+	 * @param instance the name of the process
+	 * @param group the name of its group
+	 * @param otherCount returns the number of other known processes of the group
+	 * @param localSender sends an update to the other processes of the group
+	 * @param remoteSender sends an update to the {@link #TOLD_IN_EACH_GROUP} processes of
+	 * each other group with the highest {@link #rank}
 	 */
-	public SharedReading(String instance, String group, IntSupplier others, Consumer<StoreNews> teller,
-			Consumer<StoreNews> distantTeller) {
+	public SharedReading(String instance, String group, IntSupplier otherCount, Consumer<StoreNews> localSender,
+			Consumer<StoreNews> remoteSender) {
 		this.instance = Objects.requireNonNull(instance, "instance must not be null");
 		this.group = Objects.requireNonNull(group, "group must not be null");
 		this.groupKey = Rendezvous.hash(group);
-		this.others = others;
-		this.teller = teller;
-		this.distantTeller = distantTeller;
+		this.otherCount = otherCount;
+		this.localSender = localSender;
+		this.remoteSender = remoteSender;
 	}
 
 	/**
-	 * Return a process's rank in its group, to be compared as unsigned.
+	 * Return the rank of a process in its group, by rendezvous hashing.
 	 * @param group the name of the group
-	 * @param instance the process's name
-	 * @return the rank; the highest one reads, or passes on what it hears
+	 * @param instance the name of the process
+	 * @return the rank, to be compared as unsigned; the process with the highest one
+	 * watches the store or forwards updates
 	 */
 	public static long rank(String group, String instance) {
 		return Rendezvous.weight(Rendezvous.hash(group), instance);
 	}
 
 	/**
-	 * Take that another process reads, or passes on what it hears. Only what a process of
-	 * another group reads itself counts here: two that passed on each other's news would
-	 * both rely on it.
-	 * @param news what it told
-	 * @param now the time in milliseconds
+	 * Record that another process watches the store or forwards updates. Of other groups
+	 * only watchers are recorded: two processes that forward each other's updates would
+	 * both depend on each other.
+	 * @param update the update received from it
+	 * @param now the current time in milliseconds
 	 */
-	public void heard(StoreNews news, long now) {
-		if (news.reader().equals(this.instance)) {
+	public void heard(StoreNews update, long now) {
+		if (update.reader().equals(this.instance)) {
 			return;
 		}
-		if (isOfOwnGroup(news)) {
-			this.readers.put(news.reader(), new Heard(news.to(), now));
+		if (isFromOwnGroup(update)) {
+			this.localWatchers.put(update.reader(), new LastUpdate(update.to(), now));
 		}
-		else if (news.kind() == StoreNews.Kind.READ) {
-			this.distantReaders.put(news.reader(), new Heard(news.to(), now));
+		else if (update.kind() == StoreNews.Kind.READ) {
+			this.remoteWatchers.put(update.reader(), new LastUpdate(update.to(), now));
 		}
 	}
 
 	/**
-	 * Return whether others rely on what this process reads, so that it has to find out
-	 * soon when it hears nothing any more.
-	 * @return whether there are others enough
+	 * Determine whether enough other processes depend on this process's watch, so that it
+	 * has to detect a silent store early.
+	 * @return {@code true} if the group is large enough to share a watch
 	 */
 	public boolean isShared() {
-		return this.others.getAsInt() >= FEWEST_OTHERS;
+		return this.otherCount.getAsInt() >= MIN_OTHERS;
 	}
 
 	/**
-	 * Return whether another process reads for this one now, so that it need not read
-	 * itself.
-	 * @param revision the revision that this process knows
-	 * @param now the time in milliseconds
-	 * @return {@code false} if nobody does, or if the reader is behind
+	 * Determine whether another process watches the store for this one, so that it makes
+	 * no calls itself.
+	 * @param revision the revision known to this process
+	 * @param now the current time in milliseconds
+	 * @return {@code false} if there is no watcher of higher rank, or if it is behind
 	 */
 	public boolean isServed(long revision, long now) {
 		if (!isShared()) {
 			return false;
 		}
-		return isAnyHigher(this.readers, this.groupKey, revision, now)
-				|| isAnyHigher(this.distantReaders, ALL_GROUPS_KEY, revision, now);
+		return isAnyRankedHigher(this.localWatchers, this.groupKey, revision, now)
+				|| isAnyRankedHigher(this.remoteWatchers, ALL_GROUPS_KEY, revision, now);
 	}
 
 	/**
-	 * Return whether this process is the one that tells its group, be it by reading or by
-	 * passing on.
-	 * @param now the time in milliseconds
+	 * Determine whether this process is the one that sends updates to its group, as a
+	 * watcher or by forwarding.
+	 * @param now the current time in milliseconds
 	 * @return {@code false} if one of higher rank does, or if the group is small
 	 */
 	public boolean isFirstOfGroup(long now) {
-		return isShared() && !isAnyHigher(this.readers, this.groupKey, Long.MIN_VALUE, now);
+		return isShared() && !isAnyRankedHigher(this.localWatchers, this.groupKey, Long.MIN_VALUE, now);
 	}
 
-	private boolean isAnyHigher(Map<String, Heard> heard, long key, long revision, long now) {
-		heard.values().removeIf((h) -> now - h.at > SILENCE_MILLIS);
+	private boolean isAnyRankedHigher(Map<String, LastUpdate> watchers, long key, long revision, long now) {
+		watchers.values().removeIf((h) -> now - h.at > WATCHER_TIMEOUT_MILLIS);
 		long own = Rendezvous.weight(key, this.instance);
-		return heard.entrySet()
+		return watchers.entrySet()
 			.stream()
 			.anyMatch((r) -> r.getValue().revision >= revision
 					&& Long.compareUnsigned(Rendezvous.weight(key, r.getKey()), own) > 0);
 	}
 
-	private boolean isOfOwnGroup(StoreNews news) {
-		return news.group().equals(this.group);
+	private boolean isFromOwnGroup(StoreNews update) {
+		return update.group().equals(this.group);
 	}
 
 	/**
-	 * Ask others for what happened behind a revision, because the store is out of reach.
-	 * @param revision the revision that this process knows
-	 * @param now the time in milliseconds
+	 * Request the changes after a revision from other processes, because the store is
+	 * unreachable. Requests are rate-limited.
+	 * @param revision the revision known to this process
+	 * @param now the current time in milliseconds
 	 */
 	public void ask(long revision, long now) {
-		if (now - this.askedAt >= ASK_MILLIS) {
-			this.askedAt = now;
-			this.teller.accept(news(revision, revision, List.of(), false, StoreNews.Kind.QUESTION));
+		if (now - this.requestedAt >= REQUEST_INTERVAL_MILLIS) {
+			this.requestedAt = now;
+			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreNews.Kind.QUESTION));
 		}
 	}
 
 	/**
-	 * Return the answer to another process that asks.
-	 * @param question its news
-	 * @return all that was read behind the revision that it knows, or empty if this
-	 * process has neither read that nor passed it on
+	 * Create the answer to another process's request for missed changes.
+	 * @param request the request
+	 * @return all changes after the revision known to the requester, or empty if this
+	 * process does not have them
 	 */
-	public Optional<StoreNews> answer(StoreNews question) {
-		if (question.kind() != StoreNews.Kind.QUESTION || this.read.isEmpty() || question.from() < this.readFrom
-				|| question.from() >= this.readTo) {
+	public Optional<StoreNews> answer(StoreNews request) {
+		if (request.kind() != StoreNews.Kind.QUESTION || this.recorded.isEmpty() || request.from() < this.recordedFrom
+				|| request.from() >= this.recordedTo) {
 			return Optional.empty();
 		}
-		List<StoreChange> missed = this.read.stream().filter((c) -> c.revision() > question.from()).toList();
-		return Optional.of(news(question.from(), this.readTo, missed, false, StoreNews.Kind.READ));
+		List<StoreChange> missed = this.recorded.stream().filter((c) -> c.revision() > request.from()).toList();
+		return Optional.of(createUpdate(request.from(), this.recordedTo, missed, false, StoreNews.Kind.READ));
 	}
 
 	/**
-	 * Tell others what was read.
+	 * Send the changes that were read to other processes.
 	 * @param from the revision before the changes
-	 * @param to the revision now known
-	 * @param changes the changes between them, none for a sign of life
-	 * @param returning whether the store is back only lately
+	 * @param to the revision after them
+	 * @param changes the changes between the two revisions; empty for a heartbeat
+	 * @param returning whether the store was unreachable until recently
 	 */
 	public void tell(long from, long to, List<StoreChange> changes, boolean returning) {
-		remember(from, to, changes);
-		StoreNews read = news(from, to, changes, returning, StoreNews.Kind.READ);
+		recordChanges(from, to, changes);
+		StoreNews readUpdate = createUpdate(from, to, changes, returning, StoreNews.Kind.READ);
 		if (isShared() || !changes.isEmpty()) {
-			this.teller.accept(read);
+			this.localSender.accept(readUpdate);
 		}
 		if (isShared()) {
-			this.distantTeller.accept(read);
+			this.remoteSender.accept(readUpdate);
 		}
 	}
 
 	/**
-	 * Tell others what a reading of all items found that this process had not heard of.
-	 * It stands for itself, like changes behind a gap: a process that can't reach the
-	 * store hears so of a leaving that no watch has told.
+	 * Send the differences that a read of all items found to other processes. They apply
+	 * without the changes before them, so that a process that cannot reach the store
+	 * learns of a draining target that no watch reported.
 	 * @param at the revision that was read
-	 * @param missed the changes, none to tell nothing
-	 * @param returning whether the store is back only lately
+	 * @param missed the differences; if empty, nothing is sent
+	 * @param returning whether the store was unreachable until recently
 	 */
 	public void tellMissed(long at, List<StoreChange> missed, boolean returning) {
 		if (missed.isEmpty()) {
 			return;
 		}
-		StoreNews found = news(at, at, missed, returning, StoreNews.Kind.READ);
-		this.teller.accept(found);
+		StoreNews missedUpdate = createUpdate(at, at, missed, returning, StoreNews.Kind.READ);
+		this.localSender.accept(missedUpdate);
 		if (isShared()) {
-			this.distantTeller.accept(found);
+			this.remoteSender.accept(missedUpdate);
 		}
 	}
 
 	/**
-	 * Tell the own group what a reader of another one told, if that is up to this
-	 * process.
-	 * @param told what was told
-	 * @param now the time in milliseconds
+	 * Forward an update from a watcher of another group to the own group, if this process
+	 * is the one that forwards.
+	 * @param received the update
+	 * @param now the current time in milliseconds
 	 */
-	public void passOn(StoreNews told, long now) {
-		boolean isOfReader = !isOfOwnGroup(told) && told.kind() == StoreNews.Kind.READ;
-		if (isOfReader && !told.changes().isEmpty() && isFirstOfGroup(now)) {
-			if (told.to() != this.readTo) {
-				remember(told.from(), told.to(), told.changes());
+	public void passOn(StoreNews received, long now) {
+		boolean isFromWatcher = !isFromOwnGroup(received) && received.kind() == StoreNews.Kind.READ;
+		if (isFromWatcher && !received.changes().isEmpty() && isFirstOfGroup(now)) {
+			if (received.to() != this.recordedTo) {
+				recordChanges(received.from(), received.to(), received.changes());
 			}
-			this.teller
-				.accept(news(told.from(), told.to(), told.changes(), told.returning(), StoreNews.Kind.PASSED_ON));
+			this.localSender.accept(createUpdate(received.from(), received.to(), received.changes(),
+					received.returning(), StoreNews.Kind.PASSED_ON));
 		}
 	}
 
 	/**
-	 * Tell the own group that this process, which relies on another group's reader, still
-	 * hears it, if that is up to this process.
-	 * @param revision the revision that this process knows
-	 * @param now the time in milliseconds
+	 * Send a heartbeat to the own group to report that the watcher of another group is
+	 * still alive, if this process is the one that forwards.
+	 * @param revision the revision known to this process
+	 * @param now the current time in milliseconds
 	 */
 	public void passOnSign(long revision, long now) {
 		if (isFirstOfGroup(now)) {
-			this.teller.accept(news(revision, revision, List.of(), false, StoreNews.Kind.PASSED_ON));
+			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreNews.Kind.PASSED_ON));
 		}
 	}
 
-	private StoreNews news(long from, long to, List<StoreChange> changes, boolean returning, StoreNews.Kind kind) {
+	private StoreNews createUpdate(long from, long to, List<StoreChange> changes, boolean returning,
+			StoreNews.Kind kind) {
 		return new StoreNews(this.instance, this.group, from, to, changes, returning, kind);
 	}
 
 	/**
-	 * Remember changes for those who ask for what they missed. What was told by others is
-	 * remembered too: of entries that hear each change from whoever is first, none has
-	 * read all.
+	 * Record changes to answer requests from other processes. Changes received from
+	 * others are included: where each change arrives first from a different process, none
+	 * has read them all.
 	 * @param from the revision before the changes
-	 * @param to the revision that they lead to
-	 * @param changes all changes between them
+	 * @param to the revision after them
+	 * @param changes all changes between the two revisions
 	 */
-	void remember(long from, long to, List<StoreChange> changes) {
-		if (from != this.readTo) {
-			this.read.clear();
-			this.readFrom = from;
+	void recordChanges(long from, long to, List<StoreChange> changes) {
+		if (from != this.recordedTo) {
+			this.recorded.clear();
+			this.recordedFrom = from;
 		}
-		this.readTo = to;
-		this.read.addAll(changes);
-		while (this.read.size() > MOST_REMEMBERED) {
-			this.readFrom = this.read.removeFirst().revision();
+		this.recordedTo = to;
+		this.recorded.addAll(changes);
+		while (this.recorded.size() > MAX_RECORDED) {
+			this.recordedFrom = this.recorded.removeFirst().revision();
 		}
 	}
 
-	private record Heard(long revision, long at) {
+	private record LastUpdate(long revision, long at) {
 
 	}
 
--- /dev/null
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/SilenceDetector.java
@@ -0,0 +1,73 @@
+package dev.laneworks.core.follow;
+
+/**
+ * Detects that a store has become silent, although a watch may legitimately stay without
+ * an answer for seconds.
+ */
+final class SilenceDetector {
+
+	/**
+	 * How long after the last contact or probe the store is probed, in milliseconds.
+	 */
+	private static final long PROBE_INTERVAL_MILLIS = 300;
+
+	/**
+	 * How long after the last contact the store counts as silent, in milliseconds: the
+	 * probe interval and the time of a slow answer.
+	 */
+	private static final long SILENCE_TIMEOUT_MILLIS = 560;
+
+	private long lastContactAt;
+
+	private long longestMillis;
+
+	private long probedAt = Long.MIN_VALUE / 2;
+
+	void recordContact(long now) {
+		this.longestMillis = Math.max(this.longestMillis, silentMillis(now));
+		this.lastContactAt = Math.max(this.lastContactAt, now);
+	}
+
+	/**
+	 * Determine whether a probe of the store is due; if so, record that it is sent now.
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if neither a contact nor a probe was recent
+	 */
+	boolean startProbeIfDue(long now) {
+		boolean isDue = now - Math.max(this.lastContactAt, this.probedAt) >= PROBE_INTERVAL_MILLIS;
+		if (isDue) {
+			this.probedAt = now;
+		}
+		return isDue;
+	}
+
+	boolean isSilent(long now) {
+		return silentMillis(now) > SILENCE_TIMEOUT_MILLIS;
+	}
+
+	/**
+	 * Record an answer of the store to this process itself.
+	 * @param now the current time in milliseconds
+	 * @return the longest silence since the previous answer, in milliseconds
+	 */
+	long recordAnswer(long now) {
+		recordContact(now);
+		return resetLongest(now);
+	}
+
+	/**
+	 * Return the longest silence since the last reset, and reset it.
+	 * @param now the current time in milliseconds
+	 * @return the silence in milliseconds
+	 */
+	long resetLongest(long now) {
+		long silence = Math.max(this.longestMillis, silentMillis(now));
+		this.longestMillis = 0;
+		return silence;
+	}
+
+	private long silentMillis(long now) {
+		return now - this.lastContactAt;
+	}
+
+}
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreChange.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreChange.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * A change of a store: an item was written, or its key went.
+ * A change in a store: an item was written or its key was removed.
  *
  * @param key the key
- * @param item the item as it was written; empty if the key went
+ * @param item the item as written; empty if the key was removed
  * @param revision the store's revision of the change
  * @since 0.2
  */
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -9,50 +9,51 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * Follows a store: reads all items page by page, then watches for changes, and recovers
- * from whatever the store does.
+ * Keeps a copy of a store's items up to date: reads all items page by page, then watches
+ * for changes.
  * <p>
- * Pages are no snapshot, so that the watch begins at the revision of the first page; a
- * change may then be heard of twice, and the listener must take it twice. Calls that fail
- * are made again after a wait that grows and is random in part, since all processes come
- * back at once. Where another process reads for this one no call is made: changes are
- * taken as it tells them, and a gap in them is filled by a call. Pure code over explicit
- * time; not thread-safe.
+ * The pages are not one snapshot, so the watch starts at the revision of the first page.
+ * The listener may therefore receive a change twice and must handle it idempotently.
+ * Failed calls are retried after an exponential backoff with jitter. While another
+ * process watches the store for this one, this one makes no calls: it applies the store
+ * updates that it receives and makes a call only to fill a gap. Takes the time as a
+ * parameter and performs no I/O. Not thread-safe.
  *
  * @since 0.2
  */
 public final class StoreFollower {
 
 	/**
-	 * How long after the store's return items may still be missing which come back, in
-	 * milliseconds; the platform tells about two seconds.
+	 * How long after an outage items may still be missing that their owners write again,
+	 * in milliseconds.
 	 */
-	private static final long RETURNING_MILLIS = 2_000;
+	private static final long RECOVERY_MILLIS = 2_000;
 
 	/**
-	 * How long a silence of the store entries of targets outlive, in milliseconds: they
-	 * go after three missed heartbeats, which is 3.6 s where one comes each 1.2 s. Where
-	 * the store was silent for less, what is missing in it has left; taking it for lapsed
-	 * would hold leavings up.
+	 * The shortest outage after which missing target entries count as expired, in
+	 * milliseconds. Entries expire after three missed heartbeats; an entry that is
+	 * missing after a shorter outage was removed by its target.
 	 */
-	private static final long OUTLIVED_MILLIS = 1_000;
+	private static final long MIN_EXPIRY_OUTAGE_MILLIS = 1_000;
 
 	/**
-	 * How long behind its time a call counts as forgotten, in milliseconds. Where it is
-	 * only late, since the process was held up, one reading of all items is made too
-	 * many.
+	 * How long the next call may be overdue before all items are read again, in
+	 * milliseconds.
 	 */
-	private static final long STALLED_MILLIS = 1_000;
+	private static final long STALL_TIMEOUT_MILLIS = 1_000;
 
-	/** How often it is looked whether another process still reads, in milliseconds. */
-	private static final long REST_MILLIS = 50;
+	/**
+	 * The interval for checking whether another process still watches the store, in
+	 * milliseconds.
+	 */
+	private static final long WATCHER_CHECK_MILLIS = 50;
 
 	/**
-	 * How long the store may hold a watch that others rely on, in milliseconds: a reader
-	 * whose link has gone silent is found out within this time and three signs of life,
-	 * well below the two seconds in which a plan has to be in force.
+	 * The longest time the store may hold a watch that other processes depend on, in
+	 * milliseconds. It bounds how long a broken connection of the watcher goes
+	 * undetected.
 	 */
-	private static final long SHARED_HOLD_MILLIS = 700;
+	private static final long SHARED_WAIT_MILLIS = 700;
 
 	private final FollowSettings settings;
 
@@ -66,53 +67,57 @@
 
 	private final SharedReading reading;
 
-	private final List<StoreItem> pages = new ArrayList<>();
+	private final List<StoreItem> pageItems = new ArrayList<>();
 
-	private final KnownItems known = new KnownItems();
+	private final ItemCache cache = new ItemCache();
 
-	private final StoreSilence silence = new StoreSilence();
+	private final SilenceDetector silence = new SilenceDetector();
 
-	private final Lag lag = new Lag();
+	private final LagTracker lag = new LagTracker();
 
-	private final CallSlot call;
+	private final CallTracker call;
 
-	private boolean watching;
+	private boolean synced;
 
-	/** Whether all items were read once. */
-	private boolean hasRead;
+	/** Whether all items have been read at least once. */
+	private boolean hasReadAll;
 
-	/** Whether another process reads for this one. */
-	private boolean resting;
+	/** Whether another process watches the store for this one. */
+	private boolean delegated;
 
 	private long firstRevision = -1;
 
-	/** Whether the listener threw, so that something it was told may be missing there. */
-	private boolean mustReadAnew;
+	/**
+	 * Whether the listener threw an exception and may have missed an item or a change.
+	 */
+	private boolean mustReadAgain;
 
-	/** How many signs of life in a row found no call open and none due. */
-	private int stalledSigns;
+	/**
+	 * The consecutive heartbeats at which no call was open and the next one was overdue.
+	 */
+	private int stalledHeartbeats;
 
-	/** When all items were begun to be read last. */
-	private long readAt;
+	/** When the last read of all items started, in milliseconds. */
+	private long readStartedAt;
 
 	private int failures;
 
-	private long answeredAt;
+	private long lastContactAt;
 
-	private long regainedAt = Long.MIN_VALUE / 2;
+	private long recoveredAt = Long.MIN_VALUE / 2;
 
-	private long returnHeardAt = Long.MIN_VALUE / 2;
+	private long recoveryReportedAt = Long.MIN_VALUE / 2;
 
-	private boolean lost;
+	private boolean unreachable;
 
 	/**
 	 * Create a follower.
-	 * @param settings the times that it calls by
+	 * @param settings the wait and timeout settings of the calls
 	 * @param outputs makes the calls
-	 * @param listener takes what was read
-	 * @param timers what is due later
-	 * @param backoff the waits after failures
-	 * @param reading shares the reading with other processes
+	 * @param listener receives the items and changes
+	 * @param timers schedules timeouts and later calls
+	 * @param backoff the delays after failed calls
+	 * @param reading shares the watch with other processes
 	 */
 	public StoreFollower(FollowSettings settings, FollowOutputs outputs, FollowListener listener, Timers timers,
 			Backoff backoff, SharedReading reading) {
@@ -120,35 +125,35 @@
 		this.outputs = outputs;
 		this.listener = listener;
 		this.timers = timers;
-		this.call = new CallSlot(timers);
+		this.call = new CallTracker(timers);
 		this.backoff = backoff;
 		this.reading = reading;
 	}
 
 	/**
-	 * Start to read.
-	 * @param now the time in milliseconds
+	 * Start reading the store.
+	 * @param now the current time in milliseconds
 	 */
 	public void start(long now) {
-		this.answeredAt = now;
-		this.silence.heard(now);
-		readAnew(now);
-		signOfLife(now);
+		this.lastContactAt = now;
+		this.silence.recordContact(now);
+		readAll(now);
+		heartbeat(now);
 	}
 
 	/**
-	 * Take a page.
+	 * Handle a page of items.
 	 * @param number the number of the call
-	 * @param items the page's items
-	 * @param more whether there are more
-	 * @param at the store's revision
-	 * @param now the time in milliseconds
+	 * @param items the items of the page
+	 * @param more whether more pages follow
+	 * @param at the revision of the store
+	 * @param now the current time in milliseconds
 	 */
 	public void pageRead(long number, List<StoreItem> items, boolean more, long at, long now) {
-		if (!answered(number, now)) {
+		if (!completeCall(number, now)) {
 			return;
 		}
-		this.pages.addAll(items);
+		this.pageItems.addAll(items);
 		if (this.firstRevision < 0) {
 			this.firstRevision = at;
 		}
@@ -156,429 +161,430 @@
 			readPage(Optional.of(items.get(items.size() - 1).key()), now);
 			return;
 		}
-		List<StoreItem> all = List.copyOf(this.pages);
-		this.pages.clear();
-		// What another process told while the pages were read may be newer than they are.
-		boolean isOutdated = this.watching && this.firstRevision < this.known.revision();
+		List<StoreItem> all = List.copyOf(this.pageItems);
+		this.pageItems.clear();
+		// Updates received from other processes during the read may be newer than its
+		// pages.
+		boolean isOutdated = this.synced && this.firstRevision < this.cache.revision();
 		if (!isOutdated) {
-			takeAll(all, this.firstRevision, now);
+			applyAll(all, this.firstRevision, now);
 		}
 		watch(now);
 	}
 
-	private void takeAll(List<StoreItem> all, long at, long now) {
-		boolean isOtherHistory = this.hasRead && !StorePosition.areOfOneEra(this.known.revision(), at);
-		List<StoreChange> missed = this.hasRead ? this.known.missedOf(all, at) : List.of();
-		if (isOtherHistory) {
-			this.regainedAt = now;
-			this.listener.historyReplaced(this.known.revision(), at, now);
+	private void applyAll(List<StoreItem> all, long at, long now) {
+		boolean isOtherEra = this.hasReadAll && !StorePosition.areOfOneEra(this.cache.revision(), at);
+		List<StoreChange> missed = this.hasReadAll ? this.cache.missedChanges(all, at) : List.of();
+		if (isOtherEra) {
+			this.recoveredAt = now;
+			this.listener.historyReplaced(this.cache.revision(), at, now);
 		}
 		if (!missed.isEmpty()) {
 			this.listener.missed(missed);
 		}
-		this.watching = true;
-		this.hasRead = true;
-		this.mustReadAnew = true;
-		this.listener.all(this.known.replace(all, at), now);
-		this.mustReadAnew = false;
-		// What an older copy lacks is not gone: others read it themselves.
-		if (!isOtherHistory) {
-			this.reading.tellMissed(at, missed, isReturning(now));
+		this.synced = true;
+		this.hasReadAll = true;
+		this.mustReadAgain = true;
+		this.listener.all(this.cache.replace(all, at), now);
+		this.mustReadAgain = false;
+		// Items that an older copy of the store lacks are not reported as removed. Other
+		// processes read the copy themselves.
+		if (!isOtherEra) {
+			this.reading.tellMissed(at, missed, isRecovering(now));
 		}
 	}
 
 	/**
-	 * Return the revision up to which this process knows the store.
-	 * @return the revision, or empty before all items were read
+	 * Return the revision up to which this process has all changes.
+	 * @return the revision, or empty while the items are being read
 	 */
 	public OptionalLong knownRevision() {
-		return this.watching ? OptionalLong.of(this.known.revision()) : OptionalLong.empty();
+		return this.synced ? OptionalLong.of(this.cache.revision()) : OptionalLong.empty();
 	}
 
 	/**
-	 * Return all items as this process knows them.
-	 * @return the items, in the order of their keys
+	 * Return the items at the known revision, without changes received out of order.
+	 * @return the items in the order of their keys
 	 */
 	public List<StoreItem> knownItems() {
-		return this.known.items();
+		return this.cache.items();
 	}
 
 	/**
-	 * Return how long ago this process last heard of the store.
-	 * @param now the time in milliseconds
-	 * @return milliseconds
+	 * Return the age of this process's view: the time since the store, or another process
+	 * that watches it, was last known to be reachable.
+	 * @param now the current time in milliseconds
+	 * @return the age in milliseconds
 	 */
 	public long ageMillis(long now) {
-		return now - this.answeredAt;
+		return now - this.lastContactAt;
 	}
 
 	/**
-	 * Take that the store answered a probe. A watch that says nothing of a change begins
-	 * anew: it would end by its time limit only, and work would be sent for as long to
-	 * targets that have left. So does one that waits for a store which is back.
+	 * Handle the store's answer to a probe. The watch is restarted if it is idle when the
+	 * store returns after a silence, or if it stays idle although the probe shows a newer
+	 * revision.
 	 * @param at the revision of the store, which may be seconds old
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void probed(long at, long now) {
-		boolean isBack = this.lost && this.silence.isSilent(now);
-		this.silence.heard(now);
-		if (!this.watching || this.resting) {
+		boolean isBack = this.unreachable && this.silence.isSilent(now);
+		this.silence.recordContact(now);
+		if (!this.synced || this.delegated) {
 			return;
 		}
-		if (this.call.isOpen() && at > this.known.revision()) {
-			expect(now);
+		if (this.call.isOpen() && at > this.cache.revision()) {
+			expectChange(now);
 		}
 		if (isBack && (!this.call.isOpen()
-				|| this.call.isWatchUnheard(this.settings.gapMillis() + Lag.OVERDUE_MILLIS, now))) {
-			watchAnew(now);
+				|| this.call.isWatchIdle(this.settings.gapMillis() + LagTracker.OVERDUE_MILLIS, now))) {
+			restartWatch(now);
 		}
 	}
 
 	/**
-	 * Take that this process was held up for long. What the store told meanwhile is asked
-	 * for at once, on a call of its own: one that was open may have ended unheard, and
-	 * its answer would be as old as the pause.
-	 * @param now the time in milliseconds
+	 * Handle the resume after a process pause. The watch is restarted at once on a new
+	 * call, because the answer to the open one may be lost or as old as the pause.
+	 * @param now the current time in milliseconds
 	 */
 	public void heldUp(long now) {
-		if (this.watching) {
-			this.resting = false;
-			watchAnew(now);
+		if (this.synced) {
+			this.delegated = false;
+			restartWatch(now);
 		}
 	}
 
 	/**
-	 * Take that an answer has arrived, of which the content is still to be read; it is
-	 * waited for.
+	 * Record that the answer to a call has arrived and is still being parsed, so that the
+	 * call does not count as idle.
 	 * @param number the number of the call
 	 */
 	public void answerArrived(long number) {
-		this.call.arrived(number);
+		this.call.markArrived(number);
 	}
 
 	/**
-	 * Take that a part of an answer has arrived. A call that makes progress is not given
-	 * up.
+	 * Record that a part of an answer has arrived, which extends the call's timeout.
 	 * @param number the number of the call
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void progressed(long number, long now) {
-		this.call.progressed(number, now);
+		this.call.recordProgress(number, now);
 	}
 
-	private void watchAnew(long now) {
+	private void restartWatch(long now) {
 		this.outputs.abandon();
 		this.failures = Math.max(1, this.failures);
 		watch(now);
 	}
 
 	/**
-	 * Return whether nothing is heard of the store, be it directly or through others, so
-	 * that changes would be missed.
-	 * @param now the time in milliseconds
-	 * @return {@code false} while another process reads for this one
+	 * Determine whether the store has been silent for so long that changes may be missed.
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if neither the store nor another process has sent anything
+	 * recently; {@code false} while another process watches the store for this one
 	 */
 	public boolean isSilent(long now) {
-		return this.hasRead && !this.resting && this.silence.isSilent(now);
+		return this.hasReadAll && !this.delegated && this.silence.isSilent(now);
 	}
 
 	/**
-	 * Take all items from another process, before any was read here. The store's word
-	 * replaces them as soon as it can be heard.
+	 * Apply a snapshot of all items from another process while this one has not completed
+	 * its own read, whose items replace the snapshot.
 	 * @param items the items
-	 * @param at the revision that they belong to
-	 * @param now the time in milliseconds
+	 * @param at the revision of the snapshot
+	 * @param now the current time in milliseconds
 	 */
 	public void adopt(List<StoreItem> items, long at, long now) {
-		if (!this.watching) {
-			takeAll(items, at, now);
+		if (!this.synced) {
+			applyAll(items, at, now);
 		}
 	}
 
 	/**
-	 * Take changes.
+	 * Handle the answer to a watch.
 	 * @param number the number of the call
-	 * @param changes the changes, none if the wait was over
-	 * @param at the revision to go on from
-	 * @param now the time in milliseconds
+	 * @param changes the changes in their order; empty if the wait elapsed without one
+	 * @param at the revision to continue from
+	 * @param now the current time in milliseconds
 	 */
 	public void watched(long number, List<StoreChange> changes, long at, long now) {
-		if (!answered(number, now)) {
+		if (!completeCall(number, now)) {
 			return;
 		}
-		long before = this.known.revision();
-		take(changes, at, now);
-		if (this.known.revision() > before) {
-			this.reading.tell(before, this.known.revision(), changes, isReturning(now));
+		long before = this.cache.revision();
+		applyChanges(changes, at, now);
+		if (this.cache.revision() > before) {
+			this.reading.tell(before, this.cache.revision(), changes, isRecovering(now));
 		}
-		long next = Math.max(now, this.call.watchedAt() + this.settings.gapMillis());
-		this.call.later(next, this::watchUnlessServed);
+		long next = Math.max(now, this.call.watchStartedAt() + this.settings.gapMillis());
+		this.call.schedule(next, this::watchUnlessDelegated);
 	}
 
 	/**
-	 * Take what another process told of the store.
-	 * @param news the news
-	 * @param now the time in milliseconds
+	 * Handle a store update from another process.
+	 * @param update the update
+	 * @param now the current time in milliseconds
 	 */
-	public void told(StoreNews news, long now) {
-		this.silence.heard(now);
-		if (news.returning()) {
-			heardOfReturn(now);
+	public void told(StoreNews update, long now) {
+		this.silence.recordContact(now);
+		if (update.returning()) {
+			reportRecovery(now);
 		}
-		if (!this.watching) {
-			hearWhileReading(news, now);
+		if (!this.synced) {
+			applyWhileReading(update, now);
 			return;
 		}
-		long revision = this.known.revision();
-		if (news.to() < revision) {
+		long revision = this.cache.revision();
+		if (update.to() < revision) {
 			return;
 		}
-		boolean isComplete = news.to() == revision || (news.from() <= revision && !news.changes().isEmpty());
+		boolean isComplete = update.to() == revision || (update.from() <= revision && !update.changes().isEmpty());
 		if (isComplete) {
-			take(news.changes(), news.to(), now);
-			if (this.known.revision() > revision) {
-				this.reading.remember(revision, this.known.revision(), news.changes());
+			applyChanges(update.changes(), update.to(), now);
+			if (this.cache.revision() > revision) {
+				this.reading.recordChanges(revision, this.cache.revision(), update.changes());
 			}
-			passOn(news, revision, now);
+			forwardIfNew(update, revision, now);
 			return;
 		}
-		tellThatBehind(news.to(), now);
-		hear(news.changes(), now);
-		this.reading.passOn(news, now);
-		if (this.resting) {
-			this.resting = false;
+		reportBehind(update.to(), now);
+		applyOutOfOrder(update.changes(), now);
+		this.reading.passOn(update, now);
+		if (this.delegated) {
+			this.delegated = false;
 			watch(now);
 		}
-		else if (this.lost) {
+		else if (this.unreachable) {
 			this.reading.ask(revision, now);
 		}
 		else {
-			expect(now);
+			expectChange(now);
 		}
 	}
 
-	// What others have read the own watch tells within milliseconds; a watch of which
-	// nothing arrives is one whose answer was lost.
-	private void expect(long now) {
+	// A change that others have should reach this process's watch within milliseconds.
+	// If the watch stays idle, its answer was lost.
+	private void expectChange(long now) {
 		long number = this.call.number();
-		if (this.lag.expects(number)) {
-			expect(number, this.known.revision(), this.lag.waitMillis(), now);
+		if (this.lag.startExpecting(number)) {
+			expectChange(number, this.cache.revision(), this.lag.overdueMillis(), now);
 		}
 	}
 
-	private void expect(long number, long before, long withinMillis, long now) {
+	private void expectChange(long number, long before, long withinMillis, long now) {
 		this.timers.at(now + withinMillis, (t) -> {
-			boolean isTold = number != this.call.number() || !this.call.isOpen() || this.known.revision() != before;
-			if (isTold) {
+			boolean isObsolete = number != this.call.number() || !this.call.isOpen() || this.cache.revision() != before;
+			if (isObsolete) {
 				return;
 			}
-			if (this.call.isWatchUnheard(withinMillis, t)) {
-				this.listener.askedAnew(this.lag.watchIsOverdue(), withinMillis);
-				watchAnew(t);
+			if (this.call.isWatchIdle(withinMillis, t)) {
+				this.listener.askedAnew(this.lag.recordOverdue(), withinMillis);
+				restartWatch(t);
 				return;
 			}
-			expect(number, before, withinMillis, t);
+			expectChange(number, before, withinMillis, t);
 		});
 	}
 
 	/**
-	 * Return for how long this process has known that it lacks changes which others know.
-	 * @param now the time in milliseconds
-	 * @return milliseconds; 0 if it lacks none
+	 * Return how long this process has lacked changes that other processes have.
+	 * @param now the current time in milliseconds
+	 * @return the time in milliseconds; 0 if it lacks none
 	 */
 	public long behindMillis(long now) {
-		return this.lag.millis(this.known.revision(), now);
+		return this.lag.lagMillis(this.cache.revision(), now);
 	}
 
-	private void tellThatBehind(long told, long now) {
-		long revision = this.known.revision();
-		if (this.lag.heard(told, revision, now)) {
-			this.listener.behind(revision, told);
+	private void reportBehind(long reportedRevision, long now) {
+		long revision = this.cache.revision();
+		if (this.lag.recordAhead(reportedRevision, revision, now)) {
+			this.listener.behind(revision, reportedRevision);
 		}
 	}
 
-	// What this process knew already it has told.
-	private void passOn(StoreNews news, long before, long now) {
-		if (this.known.revision() > before) {
-			this.reading.passOn(news, now);
+	// An update that changes nothing here was forwarded before.
+	private void forwardIfNew(StoreNews update, long before, long now) {
+		if (this.cache.revision() > before) {
+			this.reading.passOn(update, now);
 		}
 	}
 
-	// While all items are read anew a change that is told stands for itself: the pages
-	// may be older than it.
-	private void hearWhileReading(StoreNews news, long now) {
-		if (this.hasRead) {
-			hear(news.changes(), now);
+	// The changes are applied at once, since the pages being read may be older.
+	private void applyWhileReading(StoreNews update, long now) {
+		if (this.hasReadAll) {
+			applyOutOfOrder(update.changes(), now);
 		}
 	}
 
 	/**
-	 * Take that the store has forgotten the changes since the revision seen last.
+	 * Handle the answer that the store no longer keeps the changes since the requested
+	 * revision. All items are read again.
 	 * @param number the number of the call
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void historyGone(long number, long now) {
-		if (answered(number, now)) {
-			this.call.later(now + this.backoff.spread(this.settings.gapMillis()), this::readAnew);
+		if (completeCall(number, now)) {
+			this.call.schedule(now + this.backoff.spread(this.settings.gapMillis()), this::readAll);
 		}
 	}
 
 	/**
-	 * Take that a call failed.
+	 * Handle the failure of a call.
 	 * @param number the number of the call
-	 * @param cause what was seen
-	 * @param now the time in milliseconds
+	 * @param cause the cause of the failure, for the log
+	 * @param now the current time in milliseconds
 	 */
 	public void failed(long number, String cause, long now) {
 		if (!this.call.end(number, now)) {
 			return;
 		}
 		this.failures++;
-		if (!this.lost) {
-			this.lost = true;
+		if (!this.unreachable) {
+			this.unreachable = true;
 			this.listener.lost(cause);
 		}
 		long next = now + this.backoff.delayMillis(this.failures);
-		if (this.watching) {
-			this.call.later(next, this::watchUnlessServed);
+		if (this.synced) {
+			this.call.schedule(next, this::watchUnlessDelegated);
 		}
 		else {
-			this.call.later(next, this::readAnew);
+			this.call.schedule(next, this::readAll);
 		}
 	}
 
-	// Changes behind a gap are heard at once, since an engine's leaving can't wait for
-	// the rest: that may be a large plan, which takes a small instance up to a second.
-	// They count as unknown until they are read in their order.
-	private void hear(List<StoreChange> changes, long now) {
-		pass(this.known.hear(changes), now);
+	// Changes after a gap are applied at once, since a draining target must not wait
+	// for a large plan to arrive. They are also read in their order later.
+	private void applyOutOfOrder(List<StoreChange> changes, long now) {
+		notifyChanged(this.cache.applyOutOfOrder(changes), now);
 	}
 
-	private boolean answered(long number, long now) {
+	private boolean completeCall(long number, long now) {
 		if (!this.call.end(number, now)) {
 			return false;
 		}
 		this.failures = 0;
-		this.lag.answered();
-		regain(this.silence.answered(now) >= OUTLIVED_MILLIS, now);
+		this.lag.resetOverdue();
+		recordReachable(this.silence.recordAnswer(now) >= MIN_EXPIRY_OUTAGE_MILLIS, now);
 		return true;
 	}
 
-	private void regain(boolean mayHaveBeenAway, long now) {
-		if (this.lost) {
-			this.lost = false;
+	private void recordReachable(boolean mayHaveBeenAway, long now) {
+		if (this.unreachable) {
+			this.unreachable = false;
 			if (mayHaveBeenAway) {
-				this.regainedAt = now;
+				this.recoveredAt = now;
 			}
-			this.listener.regained(now - this.answeredAt, mayHaveBeenAway, now);
+			this.listener.regained(now - this.lastContactAt, mayHaveBeenAway, now);
 		}
-		this.answeredAt = now;
+		this.lastContactAt = now;
 	}
 
-	private boolean isReturning(long now) {
-		return now - this.regainedAt < RETURNING_MILLIS;
+	private boolean isRecovering(long now) {
+		return now - this.recoveredAt < RECOVERY_MILLIS;
 	}
 
-	// A process that follows the store itself knows better whether it was away.
-	private void heardOfReturn(long now) {
-		if (isDeaf(now) && now - this.returnHeardAt >= RETURNING_MILLIS) {
-			this.returnHeardAt = now;
+	// Ignored while this process's own watch works, since it detects an outage itself.
+	private void reportRecovery(long now) {
+		if (isStoreOverdue(now) && now - this.recoveryReportedAt >= RECOVERY_MILLIS) {
+			this.recoveryReportedAt = now;
 			this.listener.returnHeard(now);
 		}
 	}
 
-	// Whether the store is out of reach, or its answer overdue.
-	private boolean isDeaf(long now) {
-		return this.lost || this.call.isPastWait(SharedReading.SIGN_MILLIS, now);
+	// Whether the store is unreachable, or the answer to the watch is overdue.
+	private boolean isStoreOverdue(long now) {
+		return this.unreachable || this.call.isWatchOverdue(SharedReading.SIGN_MILLIS, now);
 	}
 
-	// Changes known already are passed over, since a change may be told twice and late.
-	private void take(List<StoreChange> changes, long at, long now) {
-		pass(this.known.advance(changes, at), now);
+	// Changes applied before are skipped, since an update may arrive twice or late.
+	private void applyChanges(List<StoreChange> changes, long at, long now) {
+		notifyChanged(this.cache.advance(changes, at), now);
 	}
 
-	private void pass(List<StoreChange> fresh, long now) {
-		if (fresh.isEmpty()) {
+	private void notifyChanged(List<StoreChange> newChanges, long now) {
+		if (newChanges.isEmpty()) {
 			return;
 		}
-		boolean before = this.mustReadAnew;
-		this.mustReadAnew = true;
-		this.listener.changed(fresh, now);
-		this.mustReadAnew = before;
+		boolean before = this.mustReadAgain;
+		this.mustReadAgain = true;
+		this.listener.changed(newChanges, now);
+		this.mustReadAgain = before;
 	}
 
-	// Another process that is known to follow the store stands for an answer of it.
-	private void watchUnlessServed(long now) {
-		this.resting = this.reading.isServed(this.known.revision(), now);
-		if (!this.resting) {
+	// A watching process counts as an answer from the store.
+	private void watchUnlessDelegated(long now) {
+		this.delegated = this.reading.isServed(this.cache.revision(), now);
+		if (!this.delegated) {
 			watch(now);
 			return;
 		}
 		this.failures = 0;
-		regain(this.silence.takeLongest(now) >= OUTLIVED_MILLIS, now);
-		this.call.later(now + REST_MILLIS, this::watchUnlessServed);
+		recordReachable(this.silence.resetLongest(now) >= MIN_EXPIRY_OUTAGE_MILLIS, now);
+		this.call.schedule(now + WATCHER_CHECK_MILLIS, this::watchUnlessDelegated);
 	}
 
-	private void signOfLife(long now) {
-		this.timers.at(now + SharedReading.SIGN_MILLIS, this::signOfLife);
-		goOnIfStalled(now);
-		probeIfQuiet(now);
-		if (this.watching && this.call.isOpen() && !isDeaf(now) && !isSilent(now)) {
-			this.reading.tell(this.known.revision(), this.known.revision(), List.of(), isReturning(now));
+	private void heartbeat(long now) {
+		this.timers.at(now + SharedReading.SIGN_MILLIS, this::heartbeat);
+		readAgainIfStalled(now);
+		probeIfDue(now);
+		if (this.synced && this.call.isOpen() && !isStoreOverdue(now) && !isSilent(now)) {
+			this.reading.tell(this.cache.revision(), this.cache.revision(), List.of(), isRecovering(now));
 		}
-		else if (this.resting) {
-			this.reading.passOnSign(this.known.revision(), now);
+		else if (this.delegated) {
+			this.reading.passOnSign(this.cache.revision(), now);
 		}
 	}
 
-	// A listener that throws ends the step that was to begin the next call, and may not
-	// have taken all it was told; both are read again. A process that was held up finds
-	// calls late for one sign of life.
-	private void goOnIfStalled(long now) {
-		boolean isStalled = this.call.isForgotten(STALLED_MILLIS, now);
-		this.stalledSigns = isStalled ? this.stalledSigns + 1 : 0;
-		boolean isIncomplete = this.mustReadAnew && now - this.readAt >= STALLED_MILLIS;
-		if (isIncomplete || this.stalledSigns > 1) {
-			this.stalledSigns = 0;
+	// A listener that throws prevents the next call from being scheduled and may have
+	// missed a change. Both are repaired by reading all items again. After a process
+	// pause the call is overdue at one heartbeat only.
+	private void readAgainIfStalled(long now) {
+		boolean isStalled = this.call.isNextCallOverdue(STALL_TIMEOUT_MILLIS, now);
+		this.stalledHeartbeats = isStalled ? this.stalledHeartbeats + 1 : 0;
+		boolean isIncomplete = this.mustReadAgain && now - this.readStartedAt >= STALL_TIMEOUT_MILLIS;
+		if (isIncomplete || this.stalledHeartbeats > 1) {
+			this.stalledHeartbeats = 0;
 			this.outputs.abandon();
-			readAnew(now);
+			readAll(now);
 		}
 	}
 
-	private void probeIfQuiet(long now) {
-		if (this.hasRead && !this.resting && (this.call.isOpen() || this.lost) && this.silence.askNow(now)) {
+	private void probeIfDue(long now) {
+		if (this.hasReadAll && !this.delegated && (this.call.isOpen() || this.unreachable)
+				&& this.silence.startProbeIfDue(now)) {
 			this.outputs.probe();
 		}
 	}
 
-	private void readAnew(long now) {
-		this.watching = false;
-		this.resting = false;
-		this.readAt = now;
-		this.pages.clear();
+	private void readAll(long now) {
+		this.synced = false;
+		this.delegated = false;
+		this.readStartedAt = now;
+		this.pageItems.clear();
 		this.firstRevision = -1;
 		readPage(Optional.empty(), now);
 	}
 
 	private void readPage(Optional<String> afterKey, long now) {
-		this.outputs.readPage(begin(now + this.settings.answerMillis(), now), afterKey);
+		this.outputs.readPage(beginCall(now + this.settings.answerMillis(), now), afterKey);
 	}
 
 	private void watch(long now) {
-		// The first watch after a failure is short: it tells soon whether the store is
+		// The first watch after a failure is short, to detect soon whether the store is
 		// back.
-		long wait = (this.failures > 0) ? this.settings.gapMillis() : holdMillis();
-		long number = begin(now + wait + this.settings.answerMillis(), now);
-		this.call.watches(wait, now);
-		this.outputs.watch(number, this.known.revision(), wait);
+		long wait = (this.failures > 0) ? this.settings.gapMillis() : watchWaitMillis();
+		long number = beginCall(now + wait + this.settings.answerMillis(), now);
+		this.call.markWatch(wait, now);
+		this.outputs.watch(number, this.cache.revision(), wait);
 	}
 
-	private long holdMillis() {
-		return this.reading.isShared() ? Math.min(SHARED_HOLD_MILLIS, this.settings.waitMillis())
+	private long watchWaitMillis() {
+		return this.reading.isShared() ? Math.min(SHARED_WAIT_MILLIS, this.settings.waitMillis())
 				: this.settings.waitMillis();
 	}
 
-	private long begin(long answerDue, long now) {
+	private long beginCall(long answerDue, long now) {
 		return this.call.begin(answerDue, this.settings.answerMillis(), (t) -> {
 			this.outputs.abandon();
 			failed(this.call.number(), "no answer within its time", t);
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreItem.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreItem.java
@@ -6,13 +6,13 @@
  * An item of a store.
  *
  * @param key the item's key
- * @param value what it holds
- * @param revision the store's revision of its last change; 0 where that is not known
+ * @param value the item's content
+ * @param revision the store's revision of its last change, or {@link #UNKNOWN_REVISION}
  * @since 0.2
  */
 public record StoreItem(String key, String value, long revision) {
 
-	/** The revision of an item of which it is not known. */
+	/** The revision of an item whose last change is not known. */
 	public static final long UNKNOWN_REVISION = 0;
 
 	public StoreItem {
@@ -21,9 +21,9 @@
 	}
 
 	/**
-	 * Create an item of which it is not known when it changed last.
+	 * Create an item whose last change is not known.
 	 * @param key the item's key
-	 * @param value what it holds
+	 * @param value the item's content
 	 */
 	public StoreItem(String key, String value) {
 		this(key, value, UNKNOWN_REVISION);
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreNews.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreNews.java
@@ -4,18 +4,17 @@
 import java.util.Objects;
 
 /**
- * What one process that reads a store tells others of it, or what one asks that can't
- * read it.
+ * A store update that one process sends to others, or a request for missed changes.
  *
- * @param reader the name of the instance that tells or asks
- * @param group the group that it reads for
+ * @param reader the name of the sending instance
+ * @param group the group of the sender
  * @param from the revision before the changes
- * @param to the revision that the reader knows
- * @param changes all changes behind {@code from} up to {@code to} in their order; empty
- * if there are none, or if they were too large to be told
- * @param returning whether the reader has the store back only lately, so that items may
- * be missing which come back
- * @param kind what the news are
+ * @param to the revision known to the sender
+ * @param changes all changes after {@code from} up to {@code to} in their order; empty if
+ * there are none or they are too large to send
+ * @param returning whether the store was unreachable for the sender until recently, so
+ * that items may be missing that are written again soon
+ * @param kind the kind of the update
  * @since 0.2
  */
 public record StoreNews(String reader, String group, long from, long to, List<StoreChange> changes, boolean returning,
@@ -29,46 +28,47 @@
 	}
 
 	/**
-	 * Return news of the small changes alone, which leave a gap before them: receivers
-	 * see that they have missed something, and hear of what they need at once.
-	 * @param most the most characters of a change's value
-	 * @return news whose changes can't be taken for all
+	 * Return a copy without large changes. Its {@code from} leaves a gap, so that
+	 * receivers detect the missing changes but apply the small ones at once.
+	 * @param maxLength the maximum length of a change's value, in characters
+	 * @return an update that does not count as complete
 	 */
-	public StoreNews withoutLargeChanges(int most) {
+	public StoreNews withoutLargeChanges(int maxLength) {
 		List<StoreChange> small = this.changes.stream()
-			.filter((c) -> c.item().filter((i) -> i.value().length() > most).isEmpty())
+			.filter((c) -> c.item().filter((i) -> i.value().length() > maxLength).isEmpty())
 			.toList();
 		return new StoreNews(this.reader, this.group, this.to, this.to, small, this.returning, this.kind);
 	}
 
 	/**
-	 * Return how many characters the values of the changes have together.
-	 * @return the count
+	 * Return the total length of the values of all changes.
+	 * @return the length in characters
 	 */
 	public long characters() {
 		return this.changes.stream().flatMap((c) -> c.item().stream()).mapToLong((i) -> i.value().length()).sum();
 	}
 
 	/**
-	 * Return the same news without the changes.
-	 * @return news by which receivers see that they have missed something
+	 * Return a copy without changes, from which receivers detect that they have missed
+	 * some.
+	 * @return the update with an empty list of changes
 	 */
 	public StoreNews withoutChanges() {
 		return new StoreNews(this.reader, this.group, this.from, this.to, List.of(), this.returning, this.kind);
 	}
 
 	/**
-	 * What news of the store are.
+	 * The kinds of a store update.
 	 */
 	public enum Kind {
 
-		/** The sender read it of the store itself. */
+		/** The sender read it from the store. */
 		READ,
 
-		/** The sender asks for all behind {@code from}. */
+		/** The sender requests all changes after {@code from}. */
 		QUESTION,
 
-		/** The sender heard it of a reader of another group, and tells its own. */
+		/** The sender forwards it from a watcher of another group to its own group. */
 		PASSED_ON
 
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StorePosition.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StorePosition.java
@@ -1,15 +1,15 @@
 package dev.laneworks.core.follow;
 
 /**
- * A point in the history of a store: the revision, and the era that it belongs to.
+ * A position in the history of a store: an era and a revision.
  * <p>
- * A store that comes back from an older copy begins a new era and gives revisions out
- * again. Positions are ordered by era first. They travel as single numbers wherever
- * revisions do, so that whatever orders by revision is right over eras too; a store that
- * tells no era is in era 0, and its positions are its revisions.
+ * A store that is restored from an older copy begins a new era and assigns revisions
+ * again. Positions are ordered by era first. They are encoded as single numbers wherever
+ * revisions are used, so that comparing the numbers orders them across eras. A store that
+ * reports no era is in era 0, and its positions equal its revisions.
  *
- * @param era how often the store came back from a copy, as it counts that itself; from 0
- * to {@value #MOST_ERA}
+ * @param era how often the store was restored from a copy, as the store reports it; from
+ * 0 to {@value #MOST_ERA}
  * @param revision the revision, from 0 to 2^44 - 1
  * @since 0.4
  */
@@ -17,10 +17,10 @@
 
 	private static final int REVISION_BITS = 44;
 
-	/** The highest era that fits beside a revision. */
+	/** The highest era that can be encoded. */
 	public static final int MOST_ERA = (1 << 18) - 1;
 
-	/** The highest revision that fits beside an era. */
+	/** The highest revision that can be encoded. */
 	public static final long MOST_REVISION = (1L << REVISION_BITS) - 1;
 
 	public StorePosition {
@@ -30,8 +30,8 @@
 	}
 
 	/**
-	 * Return the position that a number stands for.
-	 * @param number the number, not negative
+	 * Decode a position.
+	 * @param number the encoded position, not negative
 	 * @return the position
 	 */
 	public static StorePosition of(long number) {
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	 * Return the number that stands for this position.
+	 * Encode this position as a number.
 	 * @return the number, which is higher for a later position
 	 */
 	public long number() {
@@ -47,10 +47,10 @@
 	}
 
 	/**
-	 * Return whether two numbers stand for positions of one era.
-	 * @param one the one, negative for none
-	 * @param other the other, negative for none
-	 * @return whether no return from a copy lies between them
+	 * Determine whether two encoded positions are in the same era.
+	 * @param one the first position; negative for none
+	 * @param other the second position; negative for none
+	 * @return {@code true} if the store was not restored between them
 	 */
 	public static boolean areOfOneEra(long one, long other) {
 		return one >> REVISION_BITS == other >> REVISION_BITS;
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Follows a store's items by reading them once and watching for changes.
+ * Keeping a copy of a store's items: a full read, then a watch for changes.
  */
 package dev.laneworks.core.follow;
--- a/laneworks-core/src/test/java/dev/laneworks/core/configuration/ConfigurationLedgerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/configuration/ConfigurationLedgerTests.java
@@ -12,28 +12,28 @@
 	private final ConfigurationLedger ledger = new ConfigurationLedger();
 
 	@Test
-	void neverGoesBack() {
+	void ignoresAnOlderVersion() {
 		assertThat(offer("{\"version\": 5}")).isEqualTo(ConfigurationLedger.Outcome.ACCEPTED);
 		assertThat(offer("{\"version\": 4}")).isEqualTo(ConfigurationLedger.Outcome.OLDER);
 		assertThat(this.ledger.version()).isEqualTo(5);
 	}
 
 	@Test
-	void keepsTheFirstOfTwoDocumentsWithOneVersion() {
+	void keepsTheFirstOfTwoDocumentsWithTheSameVersion() {
 		offer("{\"version\": 5}");
 		assertThat(offer("{\"version\": 5, \"targets\": []}")).isEqualTo(ConfigurationLedger.Outcome.CONFLICT);
 		assertThat(this.ledger.text().orElseThrow()).isEqualTo("{\"version\": 5}");
 	}
 
 	@Test
-	void keepsTheLastGoodDocumentWhenABadOneComes() {
+	void keepsTheCurrentDocumentWhenAnInvalidOneArrives() {
 		offer("{\"version\": 5}");
 		assertThat(this.ledger.offer("service", "{\"version\": 6, \"x\": 1}", 0).isLeft()).isTrue();
 		assertThat(this.ledger.version()).isEqualTo(5);
 	}
 
 	@Test
-	void countsTheAgeOfAConfirmationFromWhenTheServiceWasHeard() {
+	void countsTheAgeOfAConfirmationFromTheServicesReport() {
 		offer("{\"version\": 5}");
 		assertThat(this.ledger.confirmedAgeMillis(1_000)).isEqualTo(ConfigurationLedger.NEVER_CONFIRMED);
 		this.ledger.confirm(5, 300, 1_000);
@@ -43,7 +43,7 @@
 	}
 
 	@Test
-	void isNotConfirmedByAStaleService() {
+	void isNotConfirmedByAnOlderVersion() {
 		offer("{\"version\": 5}");
 		this.ledger.confirm(4, 0, 1_000);
 		assertThat(this.ledger.confirmedAgeMillis(1_000)).isEqualTo(ConfigurationLedger.NEVER_CONFIRMED);
--- a/laneworks-core/src/test/java/dev/laneworks/core/configuration/ConfigurationParserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/configuration/ConfigurationParserTests.java
@@ -13,7 +13,7 @@
 			+ "\"serves\": [\"m1\"]}";
 
 	@Test
-	void findsAnAccountsOwnIntentBeforeTheOneForAny() {
+	void prefersTheIntentOfAnAccountOverTheOneForAny() {
 		String digest = "0".repeat(64);
 		FleetConfiguration configuration = ConfigurationParser
 			.parse("file",
@@ -29,30 +29,30 @@
 	}
 
 	@Test
-	void refusesATargetGivenTwice() {
+	void rejectsADuplicateTarget() {
 		assertThat(fault("{\"version\": 1, \"targets\": [" + TARGET + ",\n" + TARGET + "]}"))
 			.isEqualTo("file:2: targets[1].name: \"t1\" is given twice");
 	}
 
 	@Test
-	void refusesAnIntentForAModelThatNoTargetServes() {
+	void rejectsAnIntentForAModelThatNoTargetServes() {
 		assertThat(fault("{\"version\": 1, \"targets\": [" + TARGET + "],\n\"intents\": [{\"model\": \"m9\"}]}"))
 			.isEqualTo("file:2: intents[0].model: names \"m9\", which no target serves");
 	}
 
 	@Test
-	void refusesAHostName() {
+	void rejectsAHostName() {
 		assertThat(fault("{\"version\": 1, \"targets\": [" + TARGET.replace("10.0.0.1", "example") + "]}"))
 			.contains("targets[0].address: must be an IP number and a port");
 	}
 
 	@Test
-	void refusesAVersionBelowOne() {
+	void rejectsAVersionBelowOne() {
 		assertThat(fault("{\"version\": 0}")).contains("version: must be a whole number from 1");
 	}
 
 	@Test
-	void refusesAnUnknownSpillRule() {
+	void rejectsAnUnknownSpillRule() {
 		assertThat(fault("{\"version\": 1, \"targets\": [" + TARGET
 				+ "], \"intents\": [{\"model\": \"m1\", \"spill\": \"all\"}]}"))
 			.contains("must be one of none, region, any but is the string \"all\"");
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
@@ -14,41 +14,42 @@
  */
 class TargetDirectoryTests {
 
-	private final List<String> heard = new ArrayList<>();
+	private final List<String> events = new ArrayList<>();
 
 	private final Timers timers = new Timers();
 
-	private final Evacuations evacuations = new Evacuations(new EvacuationRecorder());
+	private final Evacuations evacuations = new Evacuations(new RecordingEvacuationListener());
 
-	private final TargetDirectory directory = new TargetDirectory(new Recorder(), this.evacuations, this.timers);
+	private final TargetDirectory directory = new TargetDirectory(new RecordingListener(), this.evacuations,
+			this.timers);
 
 	@Test
-	void aTargetThatSaysItLeavesTakesNoWorkAndIsTold() {
+	void reportsATargetThatStartsDraining() {
 		this.directory.put(target("a", false));
 		assertThat(this.directory.takesWork("a")).isTrue();
 		this.directory.put(target("a", true));
 		assertThat(this.directory.takesWork("a")).isFalse();
 		assertThat(this.directory.serving("s")).isEmpty();
 		this.directory.remove("a", 0);
-		assertThat(this.heard).containsExactly("joined a", "leaving a SAID_SO", "gone a").inOrder();
+		assertThat(this.events).containsExactly("joined a", "leaving a SAID_SO", "gone a").inOrder();
 	}
 
 	@Test
-	void aTargetThatIsLeavingDoesNotComeBackByALateEntry() {
+	void aLateEntryDoesNotEndTheDrainingOfATarget() {
 		this.directory.put(target("a", true));
 		this.directory.put(target("a", false));
 		assertThat(this.directory.takesWork("a")).isFalse();
 	}
 
 	@Test
-	void aVanishedEntryIsANotice() {
+	void reportsATargetWhoseEntryIsRemoved() {
 		this.directory.put(target("a", false));
 		this.directory.remove("a", 10_000);
-		assertThat(this.heard).containsExactly("joined a", "leaving a VANISHED", "gone a").inOrder();
+		assertThat(this.events).containsExactly("joined a", "leaving a VANISHED", "gone a").inOrder();
 	}
 
 	@Test
-	void anEntryThatLapsedWhileTheListWasAwayMayComeBack() {
+	void anEntryThatExpiredDuringAnOutageMayReturn() {
 		this.directory.put(target("a", false));
 		this.directory.put(target("b", false));
 		this.directory.regained(1_000);
@@ -60,21 +61,21 @@
 		this.timers.run(this.timers.nextDue());
 		assertThat(this.directory.takesWork("a")).isTrue();
 		assertThat(this.directory.takesWork("b")).isFalse();
-		assertThat(this.heard).containsExactly("joined a", "joined b", "leaving b LAPSED", "gone b").inOrder();
+		assertThat(this.events).containsExactly("joined a", "joined b", "leaving b LAPSED", "gone b").inOrder();
 		assertThat(this.directory.lapsed()).isEqualTo(0);
 	}
 
 	@Test
-	void aReturnThatIsHeardTwiceIsOne() {
+	void aSecondReportOfARecoveryDoesNotExtendItsWindow() {
 		this.directory.put(target("a", false));
 		this.directory.regained(1_000);
 		this.directory.regained(1_700);
 		this.directory.remove("a", 2_801);
-		assertThat(this.heard).containsExactly("joined a", "leaving a VANISHED", "gone a").inOrder();
+		assertThat(this.events).containsExactly("joined a", "leaving a VANISHED", "gone a").inOrder();
 	}
 
 	@Test
-	void aTargetListedAtTheAddressOfAnotherEndsThatOne() {
+	void aTargetListedAtTheAddressOfAnotherReplacesIt() {
 		this.directory.put(target("a", false));
 		this.directory.put(at("10.0.0.1", "b"));
 		assertThat(this.directory.takesWork("a")).isFalse();
@@ -82,17 +83,15 @@
 		this.directory.put(target("a", false));
 		assertThat(this.directory.takesWork("a")).isFalse();
 		assertThat(this.directory.takesWork("b")).isTrue();
-		assertThat(this.heard).containsExactly("joined a", "leaving a ADDRESS_TAKEN", "joined b").inOrder();
+		assertThat(this.events).containsExactly("joined a", "leaving a ADDRESS_TAKEN", "joined b").inOrder();
 	}
 
 	/**
-	 * In a run of the whole system an entry that was written late brought an ended target
-	 * back to the list, at an address where another one had joined 2.8 s before: that one
-	 * counted as ended and took no work to the end, and requests went to the former one
-	 * until each entry had been refused.
+	 * Guards against a late list entry of an ended target that takes its address back
+	 * from the current one, which would receive no requests.
 	 */
 	@Test
-	void aLateEntryOfATargetThatIsGoneDoesNotEndTheOneAtItsAddress() {
+	void aLateEntryOfAnEndedTargetDoesNotReplaceTheOneAtItsAddress() {
 		this.directory.put(target("a", false));
 		this.directory.remove("a", 10_000);
 		this.directory.put(at("10.0.0.1", "b"));
@@ -104,7 +103,7 @@
 	}
 
 	@Test
-	void ofTwoThatWereGoneTheOneThatWentLaterIsAtTheAddress() {
+	void ofTwoEndedTargetsTheOneThatEndedLaterHoldsTheAddress() {
 		this.directory.put(target("a", false));
 		this.directory.remove("a", 10_000);
 		this.directory.put(at("10.0.0.1", "b"));
@@ -116,7 +115,7 @@
 	}
 
 	@Test
-	void aListReadAnewEndsOnlyTheTargetThatWasKnownBeforeTheOtherAtItsAddress() {
+	void aNewReadReplacesOnlyTheTargetKnownAtTheAddressBefore() {
 		this.directory.put(target("b", false));
 		this.directory.replaceAll(listings(at("10.0.0.2", "a"), target("b", false)), 10);
 		assertThat(this.directory.takesWork("a")).isTrue();
@@ -124,7 +123,7 @@
 	}
 
 	@Test
-	void aListReadAnewDropsWhatIsMissing() {
+	void aNewReadRemovesMissingTargets() {
 		this.directory.put(target("a", false));
 		this.directory.put(target("b", false));
 		this.directory.replaceAll(listings(target("b", false), target("c", false)), 50_000);
@@ -132,12 +131,12 @@
 	}
 
 	@Test
-	void aTargetThatRefusesForBeingAnotherIsLeaving() {
+	void reportsOnceThatATargetRejectedARequest() {
 		this.directory.put(target("a", false));
 		this.directory.refusedWork(TargetRun.of("a"));
 		this.directory.refusedWork(TargetRun.of("a"));
 		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.heard).containsExactly("joined a", "leaving a REFUSED").inOrder();
+		assertThat(this.events).containsExactly("joined a", "leaving a REFUSED").inOrder();
 	}
 
 	private static ListedTarget target(String id, boolean leaving) {
@@ -149,7 +148,7 @@
 	}
 
 	@Test
-	void targetsOfAnEvacuatedDataCentreTakeNoWorkAndStay() {
+	void targetsOfAnEvacuatedDataCentreAcceptNoRequestsAndStay() {
 		this.directory.put(target("a", false));
 		this.evacuations.begin("dc");
 		assertThat(this.directory.takesWork("a")).isFalse();
@@ -160,66 +159,66 @@
 		assertThat(this.directory.staying("s")).hasSize(2);
 		this.evacuations.end("dc");
 		assertThat(this.directory.takesWork("a")).isTrue();
-		assertThat(this.heard).containsExactly("joined a", "evacuated dc", "joined b", "taken back dc").inOrder();
+		assertThat(this.events).containsExactly("joined a", "evacuated dc", "joined b", "taken back dc").inOrder();
 	}
 
 	@Test
-	void aTargetThatLeavesWhileItsDataCentreIsEvacuatedIsNoticed() {
+	void reportsATargetThatStartsDrainingDuringAnEvacuation() {
 		this.directory.put(target("a", false));
 		this.evacuations.begin("dc");
 		this.directory.put(target("a", true));
 		this.evacuations.end("dc");
 		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.heard).contains("leaving a SAID_SO");
+		assertThat(this.events).contains("leaving a SAID_SO");
 	}
 
 	@Test
-	void evacuationsReadAnewReplaceThoseKnown() {
+	void aNewReadReplacesAllEvacuations() {
 		this.evacuations.replaceAll(List.of("dc", "dc2"));
 		this.evacuations.replaceAll(List.of("dc2", "dc3"));
 		assertThat(this.evacuations.count()).isEqualTo(2);
 		this.evacuations.begin("dc2");
-		assertThat(this.heard).containsExactly("evacuated dc", "evacuated dc2", "taken back dc", "evacuated dc3");
+		assertThat(this.events).containsExactly("evacuated dc", "evacuated dc2", "taken back dc", "evacuated dc3");
 	}
 
 	private static List<Listing> listings(ListedTarget... targets) {
 		return Stream.of(targets).map((t) -> new Listing(t, Listing.UNKNOWN_REVISION)).toList();
 	}
 
-	private final class EvacuationRecorder implements EvacuationListener {
+	private final class RecordingEvacuationListener implements EvacuationListener {
 
 		@Override
 		public void evacuated(String dataCentre) {
-			TargetDirectoryTests.this.heard.add("evacuated " + dataCentre);
+			TargetDirectoryTests.this.events.add("evacuated " + dataCentre);
 		}
 
 		@Override
 		public void takenBack(String dataCentre) {
-			TargetDirectoryTests.this.heard.add("taken back " + dataCentre);
+			TargetDirectoryTests.this.events.add("taken back " + dataCentre);
 		}
 
 	}
 
-	private final class Recorder implements DirectoryListener {
+	private final class RecordingListener implements DirectoryListener {
 
 		@Override
 		public void listed(ListedTarget target) {
-			// Each entry put here is listed.
+			// Not recorded.
 		}
 
 		@Override
 		public void joined(ListedTarget target) {
-			TargetDirectoryTests.this.heard.add("joined " + target.id());
+			TargetDirectoryTests.this.events.add("joined " + target.id());
 		}
 
 		@Override
 		public void leaving(ListedTarget target, LeavingCause cause) {
-			TargetDirectoryTests.this.heard.add("leaving " + target.id() + ' ' + cause);
+			TargetDirectoryTests.this.events.add("leaving " + target.id() + ' ' + cause);
 		}
 
 		@Override
 		public void gone(ListedTarget target) {
-			TargetDirectoryTests.this.heard.add("gone " + target.id());
+			TargetDirectoryTests.this.events.add("gone " + target.id());
 		}
 
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetRunsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
@@ -10,27 +10,28 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests of {@link TargetDirectory} with targets that start again under their id.
+ * Tests for {@link TargetDirectory} with targets that restart under the same id.
  */
-class TargetRunsTests {
+class TargetIncarnationTests {
 
 	private static final long FIRST = 1_700_000_000_000L;
 
 	private static final long SECOND = FIRST + 60_000;
 
-	private final List<String> heard = new ArrayList<>();
+	private final List<String> events = new ArrayList<>();
 
 	private final Timers timers = new Timers();
 
-	private final Evacuations evacuations = new Evacuations(new NoEvacuations());
+	private final Evacuations evacuations = new Evacuations(new FailingEvacuationListener());
 
-	private final TargetDirectory directory = new TargetDirectory(new Recorder(), this.evacuations, this.timers);
+	private final TargetDirectory directory = new TargetDirectory(new RecordingListener(), this.evacuations,
+			this.timers);
 
 	@Test
-	void aNewRunOfAnIdEndsTheFormerOne() {
-		list(FIRST, false, 5);
-		list(SECOND, false, 6);
-		assertThat(this.heard)
+	void aNewIncarnationReplacesTheFormerOne() {
+		putListing(FIRST, false, 5);
+		putListing(SECOND, false, 6);
+		assertThat(this.events)
 			.containsExactly("joined a/0", "leaving a/0 STARTED_AGAIN, known a/60000", "gone a/0", "joined a/60000")
 			.inOrder();
 		assertThat(this.directory.takesWork(target(FIRST, false))).isFalse();
@@ -41,95 +42,95 @@
 	}
 
 	@Test
-	void whatANewRunListsIsHeardBeforeTheFormerEnds() {
+	void theEntryOfANewIncarnationIsReportedBeforeTheFormerOneEnds() {
 		this.directory.put(new Listing(target(FIRST, false), 5));
-		this.heard.clear();
+		this.events.clear();
 		this.directory.put(new Listing(new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, false, OptionalLong.of(700),
 				OptionalLong.of(SECOND)), 6));
-		assertThat(this.heard.get(0)).isEqualTo("cold a/60000 700");
+		assertThat(this.events.get(0)).isEqualTo("cold a/60000 700");
 	}
 
 	@Test
-	void aRunThatStartsBehindOneThatWasLeavingTakesWork() {
-		list(FIRST, false, 5);
-		list(FIRST, true, 6);
-		list(SECOND, false, 7);
+	void aNewIncarnationOfADrainingTargetAcceptsRequests() {
+		putListing(FIRST, false, 5);
+		putListing(FIRST, true, 6);
+		putListing(SECOND, false, 7);
 		assertThat(this.directory.takesWork("a")).isTrue();
-		assertThat(this.heard)
+		assertThat(this.events)
 			.containsExactly("joined a/0", "leaving a/0 SAID_SO, known a/0", "gone a/0", "joined a/60000")
 			.inOrder();
 	}
 
 	@Test
-	void theLeavingOfARunIsKnownAlsoBehindTheLeavingOfAnother() {
-		list(FIRST, true, 5);
-		list(SECOND, false, 6);
-		list(SECOND, true, 7);
+	void reportsTheDrainingOfEachIncarnation() {
+		putListing(FIRST, true, 5);
+		putListing(SECOND, false, 6);
+		putListing(SECOND, true, 7);
 		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.heard).contains("leaving a/60000 SAID_SO, known a/60000");
+		assertThat(this.events).contains("leaving a/60000 SAID_SO, known a/60000");
 	}
 
 	@Test
-	void aLateEntryOfAFormerRunChangesNothing() {
-		list(SECOND, false, 9);
-		list(FIRST, false, 5);
-		list(FIRST, true, 6);
+	void aLateEntryOfAFormerIncarnationIsIgnored() {
+		putListing(SECOND, false, 9);
+		putListing(FIRST, false, 5);
+		putListing(FIRST, true, 6);
 		this.directory.remove("a", 7, 50_000);
 		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
-		assertThat(this.heard).containsExactly("joined a/60000");
+		assertThat(this.events).containsExactly("joined a/60000");
 	}
 
 	@Test
-	void aRunThatIsGoneDoesNotComeBackByALateEntry() {
-		list(FIRST, false, 5);
-		list(SECOND, false, 6);
+	void aLateEntryDoesNotRestoreAnEndedIncarnation() {
+		putListing(FIRST, false, 5);
+		putListing(SECOND, false, 6);
 		this.directory.remove("a", 8, 50_000);
-		list(SECOND, false, 7);
-		list(FIRST, false, 5);
+		putListing(SECOND, false, 7);
+		putListing(FIRST, false, 5);
 		assertThat(this.directory.size()).isEqualTo(0);
 	}
 
 	@Test
-	void aListReadEarlierDoesNotBringAFormerRunBack() {
-		list(FIRST, false, 5);
-		list(SECOND, false, 6);
+	void anOutdatedReadDoesNotRestoreAFormerIncarnation() {
+		putListing(FIRST, false, 5);
+		putListing(SECOND, false, 6);
 		this.directory.replaceAll(List.of(new Listing(target(FIRST, false), 5)), 50_000);
 		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
 	}
 
 	@Test
-	void aRunThatStartedEarlierByItsOwnTimeOfDayMayBeTheNewer() {
-		list(SECOND, false, 5);
-		list(FIRST, false, 6);
+	void aNewerIncarnationMayHaveAnEarlierStartTime() {
+		putListing(SECOND, false, 5);
+		putListing(FIRST, false, 6);
 		assertThat(this.directory.takesWork(target(FIRST, false))).isTrue();
 		assertThat(this.directory.takesWork(target(SECOND, false))).isFalse();
 	}
 
 	@Test
-	void anEntryWithoutARevisionIsAsNewAsItsArrivalAndHidesNothingThatHasOne() {
-		list(FIRST, false, 6);
-		list(SECOND, false, Listing.UNKNOWN_REVISION);
+	void anEntryWithoutARevisionCountsAsNewestOnArrival() {
+		putListing(FIRST, false, 6);
+		putListing(SECOND, false, Listing.UNKNOWN_REVISION);
 		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
-		list(FIRST, false, 5);
+		putListing(FIRST, false, 5);
 		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
-		list(FIRST, false, 7);
+		putListing(FIRST, false, 7);
 		assertThat(this.directory.takesWork(target(FIRST, false))).isTrue();
 	}
 
 	@Test
-	void anEntryThatDoesNotTellItsStartIsOfTheRunThatIsKnown() {
-		list(FIRST, false, 5);
+	void anEntryWithoutAStartTimeBelongsToTheKnownIncarnation() {
+		putListing(FIRST, false, 5);
 		this.directory.put(new Listing(target(FIRST, true).startedAt(OptionalLong.empty()), 6));
 		assertThat(this.directory.takesWork("a")).isFalse();
 		assertThat(this.directory.isStaying(target(FIRST, true))).isFalse();
 		assertThat(this.directory.isFormerRun(target(FIRST, true))).isFalse();
-		assertThat(this.heard).containsExactly("joined a/0", "leaving a/0 SAID_SO, known a/0").inOrder();
+		assertThat(this.events).containsExactly("joined a/0", "leaving a/0 SAID_SO, known a/0").inOrder();
 	}
 
 	@Test
-	void whatAFormerRunSaidDoesNotFallOnTheNewOne() {
-		list(FIRST, false, 5);
-		list(SECOND, false, 6);
+	void reportsOfAFormerIncarnationDoNotAffectTheNewOne() {
+		putListing(FIRST, false, 5);
+		putListing(SECOND, false, 6);
 		this.directory.refusedWork(TargetRun.of("a", FIRST));
 		this.directory.saidLeaving(TargetRun.of("a", FIRST));
 		assertThat(this.directory.takesWork("a")).isTrue();
@@ -138,18 +139,18 @@
 	}
 
 	@Test
-	void theLapseOfAFormerRunDoesNotFallOnTheNewOne() {
-		list(FIRST, false, 5);
+	void theExpiryOfAFormerEntryDoesNotAffectTheNewIncarnation() {
+		putListing(FIRST, false, 5);
 		this.directory.regained(1_000);
 		this.directory.remove("a", 6, 1_100);
-		list(SECOND, false, 7);
+		putListing(SECOND, false, 7);
 		this.timers.run(this.timers.nextDue());
 		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
 	}
 
 	@Test
-	void aRunThatStartsAtTheAddressOfAnotherTargetEndsThatOne() {
-		list(FIRST, false, 5);
+	void aNewIncarnationAtTheAddressOfAnotherTargetReplacesIt() {
+		putListing(FIRST, false, 5);
 		ListedTarget other = new ListedTarget("b", "s", "10.0.0.2", 80, "dc", 4, false);
 		this.directory.put(new Listing(other, 6));
 		this.directory.put(new Listing(new ListedTarget("a", "s", "10.0.0.2", 80, "dc", 4, false, OptionalLong.empty(),
@@ -159,8 +160,8 @@
 	}
 
 	@Test
-	void aTargetThatIsHeardLateAtAnAddressDoesNotEndTheOneThatGotItSince() {
-		list(FIRST, false, 9);
+	void aLateEntryDoesNotReplaceTheCurrentTargetAtItsAddress() {
+		putListing(FIRST, false, 9);
 		this.directory.put(new Listing(new ListedTarget("former", "s", "10.0.0.1", 80, "dc", 4, false), 5));
 		assertThat(this.directory.takesWork("a")).isTrue();
 		assertThat(this.directory.takesWork("former")).isFalse();
@@ -169,7 +170,7 @@
 		assertThat(this.directory.size()).isEqualTo(1);
 	}
 
-	private void list(long startMillis, boolean isLeaving, long revision) {
+	private void putListing(long startMillis, boolean isLeaving, long revision) {
 		this.directory.put(new Listing(target(startMillis, isLeaving), revision));
 	}
 
@@ -182,7 +183,7 @@
 		return target.id() + '/' + (target.startMillis().orElse(FIRST) - FIRST);
 	}
 
-	private static final class NoEvacuations implements EvacuationListener {
+	private static final class FailingEvacuationListener implements EvacuationListener {
 
 		@Override
 		public void evacuated(String dataCentre) {
@@ -196,27 +197,30 @@
 
 	}
 
-	private final class Recorder implements DirectoryListener {
+	private final class RecordingListener implements DirectoryListener {
 
 		@Override
 		public void listed(ListedTarget target) {
-			target.coldMillis().ifPresent((c) -> TargetRunsTests.this.heard.add("cold " + text(target) + ' ' + c));
+			target.coldMillis()
+				.ifPresent((c) -> TargetIncarnationTests.this.events.add("cold " + text(target) + ' ' + c));
 		}
 
 		@Override
 		public void joined(ListedTarget target) {
-			TargetRunsTests.this.heard.add("joined " + text(target));
+			TargetIncarnationTests.this.events.add("joined " + text(target));
 		}
 
 		@Override
 		public void leaving(ListedTarget target, LeavingCause cause) {
-			String known = TargetRunsTests.this.directory.find(target.id()).map(TargetRunsTests::text).orElse("");
-			TargetRunsTests.this.heard.add("leaving " + text(target) + ' ' + cause + ", known " + known);
+			String known = TargetIncarnationTests.this.directory.find(target.id())
+				.map(TargetIncarnationTests::text)
+				.orElse("");
+			TargetIncarnationTests.this.events.add("leaving " + text(target) + ' ' + cause + ", known " + known);
 		}
 
 		@Override
 		public void gone(ListedTarget target) {
-			TargetRunsTests.this.heard.add("gone " + text(target));
+			TargetIncarnationTests.this.events.add("gone " + text(target));
 		}
 
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/document/DocumentReaderTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/document/DocumentReaderTests.java
@@ -13,14 +13,14 @@
 class DocumentReaderTests {
 
 	@Test
-	void tellsEveryFaultAtOnceInTheOrderOfTheLines() {
+	void reportsAllFaultsInTheOrderOfTheLines() {
 		String text = "{\n\"instanse\": \"a\",\n\"port\": 99999,\n\"wait\": \"soon\",\n\"store\": 5\n}";
 		String message = DocumentReader.read("f", text, (o) -> {
 			o.text("instance");
 			o.integer("port", 1, 65_535);
 			o.duration("wait", Duration.ZERO, Duration.ofSeconds(5), Duration.ZERO);
 			o.object("store").text("address");
-			return o.invalid("instance", "is told once", "?");
+			return o.invalid("instance", "is reported once", "?");
 		}).getLeft().getMessage();
 		assertThat(message.lines().map((l) -> l.split(" ")[1]).toList())
 			.containsExactly("instance:", "instanse:", "port:", "wait:", "store:")
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void aFaultThatRestsOnAnotherIsNotTold() {
+	void doesNotReportAFaultCausedByAPlaceholder() {
 		String message = DocumentReader.read("f", "{}", (o) -> {
 			String name = o.text("name");
 			throw o.invalid("name", name + " is not known");
@@ -45,46 +45,46 @@
 	}
 
 	@Test
-	void namesAnUnknownSettingWithItsLineAndWhatIsAllowed() {
+	void reportsAnUnknownSettingWithItsLineAndTheAllowedOnes() {
 		String message = fault("{\n  \"a\": 1,\n  \"aa\": 2\n}", (o) -> o.integer("a", 0, 9));
 		assertThat(message).isEqualTo("file:3: aa: is unknown; allowed here: a");
 	}
 
 	@Test
-	void namesAWrongTypeWithItsLine() {
+	void reportsAWrongTypeWithItsLine() {
 		String message = fault("{\n\n\"a\": \"x\"}", (o) -> o.integer("a", 0, 9));
 		assertThat(message).isEqualTo("file:3: a: must be a whole number from 0 to 9 but is the string \"x\"");
 	}
 
 	@Test
-	void namesANumberOutOfRange() {
+	void reportsANumberOutOfRange() {
 		assertThat(fault("{\"a\": 10}", (o) -> o.integer("a", 0, 9))).contains("from 0 to 9 but is the number 10");
 	}
 
 	@Test
-	void namesABadUnit() {
+	void reportsAnInvalidUnit() {
 		String message = fault("{\"o\": {\"wait\": \"5 sec\"}}",
 				(o) -> o.object("o").duration("wait", Duration.ZERO, Duration.ofHours(1), Duration.ZERO));
 		assertThat(message).contains("file:1: o.wait: must be a duration from 0s to 3600s");
 	}
 
 	@Test
-	void namesASettingGivenTwice() {
+	void reportsADuplicateSetting() {
 		assertThat(fault("{\"a\": 1,\n\"a\": 2}", (o) -> o.integer("a", 0, 9))).isEqualTo("file:2: a: is given twice");
 	}
 
 	@Test
-	void namesTheLineOfBrokenJson() {
+	void reportsTheLineOfMalformedJson() {
 		assertThat(fault("{\n\"a\": }", (o) -> o.integer("a", 0, 9))).startsWith("file:2: document: is not JSON");
 	}
 
 	@Test
-	void namesAMissingSetting() {
+	void reportsAMissingSetting() {
 		assertThat(fault("{}", (o) -> o.text("a"))).isEqualTo("file:1: a: is missing; it must be a string");
 	}
 
 	@Test
-	void refusesAnEmptyDocument() {
+	void rejectsAnEmptyDocument() {
 		assertThat(fault("", (o) -> 1)).contains("is empty");
 	}
 
