--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EngineAdmission.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EngineAdmission.java
@@ -3,86 +3,80 @@
 import java.util.OptionalLong;
 
 /**
- * Tells which generations are refused at once because no engine would begin them in time.
+ * Admission control that rejects generations which no engine would start in time.
  * <p>
- * It answers a load under which the memory of all engines is promised beyond what there
- * is. What goes to an engine then waits there: it can't be placed elsewhere any more, is
- * lost when the engine leaves, and is begun even where its caller has left meanwhile. The
- * wait is worked out from how far the engine's memory is promised beyond its end and from
- * how long a generation usually holds its part of it. Not thread-safe.
+ * When the memory of all engines is overcommitted, a dispatched generation queues at its
+ * engine. It can then no longer be sent elsewhere, is lost if the engine drains, and
+ * starts even if its caller has disconnected. The wait is estimated from the engine's
+ * memory utilization and the mean lifetime of a generation. Not thread-safe.
  */
 final class EngineAdmission {
 
-	/**
-	 * How long a generation holds its memory until one was seen, in milliseconds.
-	 */
-	private static final double FIRST_LIFE_MILLIS = 9_000;
+	/** Initial estimate of the lifetime of a long generation. */
+	private static final double INITIAL_LIFETIME_MILLIS = 9_000;
 
-	/**
-	 * How long a short one holds it until one was seen, in milliseconds: the time until
-	 * its first event and three events.
-	 */
-	private static final double FIRST_SHORT_LIFE_MILLIS = 1_500;
+	/** Initial estimate of the lifetime of a short generation. */
+	private static final double INITIAL_SHORT_LIFETIME_MILLIS = 1_500;
 
-	/** The weight of the newest generation in the usual time. */
-	private static final double NEWEST_WEIGHT = 0.05;
+	/** Weight of the newest generation in the moving average. */
+	private static final double NEWEST_SAMPLE_WEIGHT = 0.05;
 
 	/**
-	 * Up to how many goals a generation of the highest rank may wait for memory. Sent all
-	 * the same, it would be late, and so would all behind it.
+	 * Maximum wait of a highest-priority generation, in multiples of its latency goal.
 	 */
-	private static final double MOST_GOALS = 1;
+	private static final double MAX_WAIT_GOALS = 1;
 
-	/** The bound of the lower ranks, so that the highest one fares no worse than they. */
-	private static final double LOWER_RANK_GOALS = 0.6;
+	/** Maximum wait at lower priorities, in multiples of the latency goal. */
+	private static final double MAX_WAIT_GOALS_LOWER_PRIORITY = 0.6;
 
-	/** The largest part of the caller's time that may pass before the first event. */
-	private static final double MOST_OF_PATIENCE = 0.6;
+	/** Maximum wait as a fraction of the time left to the caller. */
+	private static final double MAX_WAIT_TIME_SHARE = 0.6;
 
-	private double lifeMillis = FIRST_LIFE_MILLIS;
+	private double lifetimeMillis = INITIAL_LIFETIME_MILLIS;
 
-	private double shortLifeMillis = FIRST_SHORT_LIFE_MILLIS;
+	private double shortLifetimeMillis = INITIAL_SHORT_LIFETIME_MILLIS;
 
 	/**
-	 * Take how long a generation took from its opening to its end.
-	 * @param work what it asked for
+	 * Record the time from the opening to the end of a generation.
+	 * @param work the size of the generation
 	 * @param millis the time in milliseconds
 	 */
-	void took(EngineWork work, long millis) {
+	void recordLifetime(EngineWork work, long millis) {
 		if (work.isShort()) {
-			this.shortLifeMillis += NEWEST_WEIGHT * (millis - this.shortLifeMillis);
+			this.shortLifetimeMillis += NEWEST_SAMPLE_WEIGHT * (millis - this.shortLifetimeMillis);
 		}
 		else {
-			this.lifeMillis += NEWEST_WEIGHT * (millis - this.lifeMillis);
+			this.lifetimeMillis += NEWEST_SAMPLE_WEIGHT * (millis - this.lifetimeMillis);
 		}
 	}
 
 	/**
-	 * Return how long it takes until the room that a generation needs is set free by
-	 * others that end.
-	 * @param work what it asks for
-	 * @param memoryTokens the memory that is set free within the life of a long
-	 * generation, in tokens
-	 * @return milliseconds
+	 * Estimate how long it takes until generations that end release the memory that
+	 * another one needs.
+	 * @param work the size of the generation
+	 * @param memoryTokens the memory released within the lifetime of a long generation,
+	 * in tokens
+	 * @return the time in milliseconds
 	 */
-	double freedInMillis(EngineWork work, double memoryTokens) {
-		double life = work.isShort() ? this.shortLifeMillis : this.lifeMillis;
-		return work.heldTokens(0) * life / memoryTokens;
+	double memoryReleaseMillis(EngineWork work, double memoryTokens) {
+		double lifetime = work.isShort() ? this.shortLifetimeMillis : this.lifetimeMillis;
+		return work.heldTokens(0) * lifetime / memoryTokens;
 	}
 
 	/**
-	 * Return for how long there will be no room for a generation that is refused.
-	 * @param fullness how full the best engine's memory would be with it
-	 * @param rank its rank, 0 being the highest
-	 * @param goalMillis the goal for its first event, in milliseconds
-	 * @param leftMillis the time that its caller has left, in milliseconds
-	 * @return after how many milliseconds there is likely to be room, or empty if the
-	 * generation is to be sent
+	 * Estimate the wait of a generation that should be rejected.
+	 * @param utilization the memory utilization of the best engine including the
+	 * generation
+	 * @param priority the priority of the generation, 0 being the highest
+	 * @param goalMillis the latency goal of the first event in milliseconds
+	 * @param leftMillis the time left to the caller in milliseconds
+	 * @return the time until memory is expected to be free in milliseconds, or empty if
+	 * the generation should be admitted
 	 */
-	OptionalLong waitMillis(double fullness, int rank, long goalMillis, long leftMillis) {
-		double wait = (fullness - 1) * this.lifeMillis;
-		double bound = Math.min(((rank == 0) ? MOST_GOALS : LOWER_RANK_GOALS) * goalMillis,
-				MOST_OF_PATIENCE * leftMillis);
+	OptionalLong waitMillis(double utilization, int priority, long goalMillis, long leftMillis) {
+		double wait = (utilization - 1) * this.lifetimeMillis;
+		double bound = Math.min(((priority == 0) ? MAX_WAIT_GOALS : MAX_WAIT_GOALS_LOWER_PRIORITY) * goalMillis,
+				MAX_WAIT_TIME_SHARE * leftMillis);
 		return (wait > bound) ? OptionalLong.of(Math.round(wait)) : OptionalLong.empty();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EngineWork.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EngineWork.java
@@ -5,28 +5,27 @@
 import java.util.OptionalLong;
 
 /**
- * What a generation asks of an engine.
+ * Size of a generation as far as it matters to engine scheduling.
  *
  * @param model the model's name
- * @param promptTokens the tokens of the prompt
- * @param maxTokens the most tokens that it generates
- * @param expectedTokens the caller's estimate of the tokens generated, if it gave one
- * @param parts the parts of the prompt in order; those before the last may be shared
+ * @param promptTokens the number of prompt tokens
+ * @param maxTokens the maximum number of generated tokens
+ * @param expectedTokens the caller's estimate of the generated tokens, if given
+ * @param parts the parts of the prompt in order; all but the last may be shared
  * @since 0.2
  */
 public record EngineWork(String model, long promptTokens, long maxTokens, OptionalLong expectedTokens,
 		List<PromptPart> parts) {
 
 	/**
-	 * The tokens that a running generation is given room for ahead; about two seconds of
-	 * growth, in which a target that fills up can be avoided.
+	 * Tokens reserved ahead of a running generation, so that a target that fills up can
+	 * be avoided in time.
 	 */
 	private static final long GROWTH_TOKENS = 250;
 
 	/**
-	 * The tokens from which a generation is a long one, worth a running copy: a shorter
-	 * one ends within any notice, and engines take longer to read its prompt than to
-	 * generate.
+	 * Minimum length of a generation for which a live copy is worthwhile. A shorter one
+	 * finishes within the reclaim notice.
 	 */
 	private static final long LONG_TOKENS = 200;
 
@@ -40,17 +39,17 @@
 	}
 
 	/**
-	 * Return whether the generation ends soon after its prompt is read.
-	 * @return whether it is a short one
+	 * Determine whether the generation is too short to need a copy.
+	 * @return {@code true} if it ends soon after its prompt is read
 	 */
 	public boolean isShort() {
 		return this.maxTokens < LONG_TOKENS;
 	}
 
 	/**
-	 * Return the engine memory that the generation holds and will hold soon.
-	 * @param generated the tokens generated so far
-	 * @return the prompt, what was generated, and room to grow in
+	 * Return the engine memory to reserve for the generation.
+	 * @param generated the number of tokens generated so far
+	 * @return the number of prompt and generated tokens plus a growth reserve
 	 */
 	public long heldTokens(long generated) {
 		return this.promptTokens + generated + Math.min(GROWTH_TOKENS, Math.max(0, this.maxTokens - generated));
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EntryRanks.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EntryRanks.java
@@ -1,24 +1,24 @@
 package dev.laneworks.core.dispatch;
 
 /**
- * Tells this entry's place among those that are known, so that each of them can work out
- * its own part of what all may do together.
+ * Rank of this entry among all known entries, from which each entry derives its own share
+ * of a fleet-wide limit.
  *
  * @since 0.3
  */
 public interface EntryRanks {
 
 	/**
-	 * Return how many entries there are, as far as is known.
-	 * @return the count, this one included
+	 * Return the number of known entries.
+	 * @return the count, including this entry
 	 */
 	int entries();
 
 	/**
-	 * Return how many entries rank before this one for a target. Entries that know each
-	 * other rank themselves alike, and otherwise for each target.
+	 * Return the number of entries that rank before this one for a target. Entries that
+	 * know the same entries compute the same ranking, which differs between targets.
 	 * @param target the target's id
-	 * @return the count; 0 for the first
+	 * @return the count; 0 for the first entry
 	 */
 	int before(String target);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
@@ -8,8 +8,8 @@
 import dev.laneworks.core.directory.ListedTarget;
 
 /**
- * The generations of this process that are to be moved away from one engine, of which one
- * at the most is copied at a time. Keeps what is believed of the engines up to date.
+ * Queue of the generations of this process to be moved away from one engine, with at most
+ * one copy in progress. Keeps the recorded state of the engines up to date.
  */
 final class MoveQueue {
 
@@ -17,64 +17,65 @@
 
 	private final long noticedAt;
 
-	private final TargetBeliefs beliefs;
+	private final TargetBeliefs estimates;
 
 	private final List<DirectCall> waiting = new ArrayList<>();
 
 	private Optional<DirectCall> active = Optional.empty();
 
-	/** The engines whose links the active copy uses. */
-	private List<ListedTarget> engines = List.of();
+	/** Source and destination of the copy in progress. */
+	private List<ListedTarget> activeEngines = List.of();
 
-	private boolean lookDue;
+	private boolean pollScheduled;
 
 	/**
 	 * Create an empty queue.
-	 * @param source the engine
-	 * @param noticedAt when its leaving was heard, in milliseconds
-	 * @param beliefs what is believed of engines
+	 * @param source the draining engine
+	 * @param noticedAt the time of its reclaim notice in milliseconds of the monotonic
+	 * clock
+	 * @param estimates the recorded state of all targets
 	 */
-	MoveQueue(ListedTarget source, long noticedAt, TargetBeliefs beliefs) {
+	MoveQueue(ListedTarget source, long noticedAt, TargetBeliefs estimates) {
 		this.source = source;
 		this.noticedAt = noticedAt;
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 	}
 
 	ListedTarget source() {
 		return this.source;
 	}
 
-	// How long ago the engine's leaving was heard, in milliseconds.
-	long sinceNotice(long now) {
+	// The time since the reclaim notice, in milliseconds.
+	long millisSinceNotice(long now) {
 		return now - this.noticedAt;
 	}
 
 	void add(DirectCall call) {
 		this.waiting.add(call);
-		count(call, true);
+		countPending(call, true);
 	}
 
-	// Puts a call back that can't be copied now; others may go ahead of it until it is
+	// Requeues a call that cannot be copied now. Others may overtake it until it is
 	// ready.
-	void putBack(DirectCall call) {
+	void requeue(DirectCall call) {
 		this.waiting.remove(call);
 		this.waiting.add(call);
-		count(call, false);
+		countPending(call, false);
 	}
 
-	// Counts a call again that was put back, if it still waits.
-	boolean readyAgain(DirectCall call) {
+	// Marks a requeued call as pending again, if it is still queued.
+	boolean markReady(DirectCall call) {
 		boolean isWaiting = this.waiting.contains(call);
 		if (isWaiting) {
-			count(call, true);
+			countPending(call, true);
 		}
 		return isWaiting;
 	}
 
 	/**
-	 * Return the call that is to be copied next: the one with the least to copy.
-	 * @param now the time in milliseconds
-	 * @return the call, or empty if one is being copied or none is ready
+	 * Return the ready call with the fewest tokens to copy.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the call, or empty if a copy is in progress or no call is ready
 	 */
 	Optional<DirectCall> next(long now) {
 		if (this.active.isPresent()) {
@@ -85,27 +86,27 @@
 			.min(Comparator.comparingLong(MoveQueue::tokensToCopy));
 	}
 
-	// Begins to copy a call, whose destination is chosen.
-	void begin(DirectCall call) {
+	// Starts the copy of a call whose destination is set.
+	void startCopy(DirectCall call) {
 		this.waiting.remove(call);
-		endActive();
+		endActiveCopy();
 		this.active = Optional.of(call);
-		this.engines = List.of(this.source, call.copying().get().destination());
-		this.engines.forEach((e) -> this.beliefs.change(e, (b) -> b.copying(1)));
+		this.activeEngines = List.of(this.source, call.copying().get().destination());
+		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.copying(1)));
 	}
 
-	void endActive() {
-		this.engines.forEach((e) -> this.beliefs.change(e, (b) -> b.copying(-1)));
-		this.engines = List.of();
+	void endActiveCopy() {
+		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.copying(-1)));
+		this.activeEngines = List.of();
 		this.active = Optional.empty();
 	}
 
 	void remove(DirectCall call) {
 		this.waiting.remove(call);
 		if (this.active.filter((c) -> c == call).isPresent()) {
-			endActive();
+			endActiveCopy();
 		}
-		count(call, false);
+		countPending(call, false);
 	}
 
 	boolean isEmpty() {
@@ -113,30 +114,30 @@
 	}
 
 	/**
-	 * Ask for a look at the queue.
-	 * @return {@code false} if one is due already
+	 * Record that a poll of the queue is to be scheduled.
+	 * @return {@code false} if one is scheduled already
 	 */
-	boolean askForLook() {
-		boolean isNew = !this.lookDue;
-		this.lookDue = true;
+	boolean markPollScheduled() {
+		boolean isNew = !this.pollScheduled;
+		this.pollScheduled = true;
 		return isNew;
 	}
 
-	void looked() {
-		this.lookDue = false;
+	void clearPollScheduled() {
+		this.pollScheduled = false;
 	}
 
-	// What is still to be copied of a call's generation, in tokens.
+	// The tokens of a call's generation that no standby copy holds yet.
 	static long tokensToCopy(DirectCall call) {
 		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
 		return tokens - call.standby().map(Standby::copiedTokens).orElse(0L);
 	}
 
-	private void count(DirectCall call, boolean isToMove) {
+	private void countPending(DirectCall call, boolean isToMove) {
 		Copying copying = call.copying().get();
 		if (copying.isCounted() != isToMove) {
 			copying.counted(isToMove);
-			this.beliefs.change(this.source, (b) -> b.toMove(isToMove ? 1 : -1));
+			this.estimates.change(this.source, (b) -> b.toMove(isToMove ? 1 : -1));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Offers.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Offers.java
@@ -15,20 +15,20 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * Offers calls to targets, one after the other, within the bounds on attempts and
- * repeated sendings.
+ * Dispatches the attempts of a call, one target after another, within the limits on
+ * attempts and retries.
  */
 final class Offers {
 
 	/**
-	 * The longest time that a connection is given to come up, in milliseconds; the first
-	 * limit of RFC 6298, and what callers allow.
+	 * Upper bound of the learned connect timeout. Equals the initial retransmission
+	 * timeout of RFC 6298.
 	 */
-	private static final long MOST_CONNECT_MILLIS = 1_000;
+	private static final long MAX_CONNECT_MILLIS = 1_000;
 
 	private final DispatchSettings settings;
 
-	private final RetryWindow retries;
+	private final RetryWindow retryBudget;
 
 	private final AttemptSender sender;
 
@@ -44,28 +44,27 @@
 
 	private final Function<DirectCall, Optional<EngineSpec>> engines;
 
-	private final ConnectFailure connectFailed;
+	private final ConnectFailure connectFailure;
 
 	/**
-	 * How long connections take. A process that has just started takes long to look at
-	 * its connections again; targets given up meanwhile would cost it the time in which
-	 * it could have served.
+	 * Learned connect timeout. Adapts to a process that is slow to handle its connections
+	 * after a start, so that it does not give up on reachable targets.
 	 */
 	private final UsualTime connectTime;
 
 	private final EngineAdmission admission = new EngineAdmission();
 
-	private final ReturnTimes returnTimes = new ReturnTimes();
+	private final RetryAfterSchedule retryAfterSchedule = new RetryAfterSchedule();
 
 	private final EntryRanks entries;
 
-	private final boolean refusesHopeless;
+	private final boolean admissionEnabled;
 
-	Offers(DispatchSettings settings, RetryWindow retries, AttemptSender sender, CallEnding ending, PoisonGuard poison,
-			Timers timers, DispatchOutputs outputs, AuditSink audit, Function<DirectCall, Optional<EngineSpec>> engines,
-			EntryRanks entries, ConnectFailure connectFailed) {
+	Offers(DispatchSettings settings, RetryWindow retryBudget, AttemptSender sender, CallEnding ending,
+			PoisonGuard poison, Timers timers, DispatchOutputs outputs, AuditSink audit,
+			Function<DirectCall, Optional<EngineSpec>> engines, EntryRanks entries, ConnectFailure connectFailure) {
 		this.settings = settings;
-		this.retries = retries;
+		this.retryBudget = retryBudget;
 		this.sender = sender;
 		this.ending = ending;
 		this.poison = poison;
@@ -74,20 +73,21 @@
 		this.audit = audit;
 		this.engines = engines;
 		this.entries = entries;
-		this.connectFailed = connectFailed;
+		this.connectFailure = connectFailure;
 		this.connectTime = new UsualTime(settings.connectMillis(),
-				settings.mechanisms().use(Mechanism.LEARNED_CONNECT_LIMIT) ? MOST_CONNECT_MILLIS
+				settings.mechanisms().use(Mechanism.LEARNED_CONNECT_LIMIT) ? MAX_CONNECT_MILLIS
 						: settings.connectMillis());
-		this.refusesHopeless = settings.mechanisms().use(Mechanism.ENGINE_ADMISSION);
+		this.admissionEnabled = settings.mechanisms().use(Mechanism.ENGINE_ADMISSION);
 	}
 
-	// Offers a call that no target has run to the best one left, or refuses it.
+	// Dispatches a call that no target has executed to the best target left, or refuses
+	// it.
 	void offer(DirectCall call, long now) {
 		if (this.poison.refuse(call, now)) {
 			return;
 		}
 		if (call.arrivals() >= this.settings.maxAttempts() || call.attempts() >= this.settings.maxConnections()) {
-			this.ending.refuse(call, RefusalReason.OVERLOADED, "no target took the request", now);
+			this.ending.refuse(call, RefusalReason.OVERLOADED, "no target accepted the request", now);
 			return;
 		}
 		Optional<ListedTarget> target = this.sender.choose(call, this.engines.apply(call), now);
@@ -95,70 +95,71 @@
 			this.ending.refuse(call, RefusalReason.NO_TARGET, this.sender.shortage(call, now), now);
 			return;
 		}
-		Optional<EngineSpec> engine = this.engines.apply(call).filter((e) -> isBounded(call));
-		if (engine.isPresent() && waitForRoom(call, target.get(), engine.get(), now).isPresent()) {
+		Optional<EngineSpec> engine = this.engines.apply(call).filter((e) -> isSubjectToAdmission(call));
+		if (engine.isPresent() && memoryWaitMillis(call, target.get(), engine.get(), now).isPresent()) {
 			target = this.sender.chooseLeastFull(call, engine.get(), now);
-			OptionalLong wait = waitForRoom(call, target.get(), engine.get(), now);
+			OptionalLong wait = memoryWaitMillis(call, target.get(), engine.get(), now);
 			if (wait.isPresent()) {
-				long comeBack = comeBackMillis(call, wait.getAsLong(), engine.get(), now);
+				long retryAfter = retryAfterMillis(call, wait.getAsLong(), engine.get(), now);
 				this.ending.refuse(call, RefusalReason.OVERLOADED,
-						Shortage.until("no engine would begin the generation in time", comeBack), now);
+						Shortage.until("no engine has memory to start the generation in time", retryAfter), now);
 				return;
 			}
 		}
-		if (call.arrivals() > 0 && !this.retries.tryTake(call.request().service(), now)) {
-			this.ending.refuse(call, RefusalReason.OVERLOADED, "the budget for repeated sendings is spent", now);
+		if (call.arrivals() > 0 && !this.retryBudget.tryTake(call.request().service(), now)) {
+			this.ending.refuse(call, RefusalReason.OVERLOADED, "the retry budget is exhausted", now);
 			return;
 		}
 		call.use(begin(call, target.get(), Optional.empty(), now));
 	}
 
-	private boolean isBounded(DirectCall call) {
-		return this.refusesHopeless && call.request().work().isPresent();
+	private boolean isSubjectToAdmission(DirectCall call) {
+		return this.admissionEnabled && call.request().work().isPresent();
 	}
 
-	// For how long there is no room for a generation that an engine would not begin in
-	// time.
-	private OptionalLong waitForRoom(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
+	// The time until memory is available, or empty if the generation can start in time.
+	private OptionalLong memoryWaitMillis(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
 		return this.admission.waitMillis(this.sender.fullnessWith(call, target, engine, now),
 				call.request().route().priority(), call.request().route().goalMillis(), call.dueAt() - now);
 	}
 
-	// When the caller of a refused generation may come back. Entries don't know whom
-	// others refuse: each tells times for its part of the room.
-	private long comeBackMillis(DirectCall call, long waitMillis, EngineSpec engine, long now) {
+	// The retry-after time of a refused generation. Entries do not share their refusals,
+	// so each schedules retries for its own share of the memory.
+	private long retryAfterMillis(DirectCall call, long waitMillis, EngineSpec engine, long now) {
 		double ownMemory = this.sender.memoryTokens(call.request().service(), engine) / this.entries.entries();
-		double freedIn = call.request().work().map((w) -> this.admission.freedInMillis(w, ownMemory)).orElse(0.0);
-		return this.returnTimes.book(call.request().service(), call.request().route().priority(), waitMillis, freedIn,
-				call.patienceEndsAt() - now, now);
+		double releasedIn = call.request()
+			.work()
+			.map((w) -> this.admission.memoryReleaseMillis(w, ownMemory))
+			.orElse(0.0);
+		return this.retryAfterSchedule.nextRetryAfterMillis(call.request().service(), call.request().route().priority(),
+				waitMillis, releasedIn, call.patienceEndsAt() - now, now);
 	}
 
-	// A generation ended whole.
+	// Records the duration of a generation that completed.
 	void ended(DirectCall call, long now) {
-		call.request().work().ifPresent((w) -> this.admission.took(w, now - call.openedAt()));
+		call.request().work().ifPresent((w) -> this.admission.recordLifetime(w, now - call.openedAt()));
 	}
 
-	// Sends a call to a target and sees to it that its connection comes up in time.
+	// Sends a call to a target and starts the connect timeout.
 	Attempt begin(DirectCall call, ListedTarget target, Optional<ResumePoint> resume, long now) {
 		Attempt attempt = this.sender.send(call, target, this.engines.apply(call), resume, now);
-		this.timers.at(now + this.connectTime.limitMillis(), (t) -> connectOverdue(call, attempt, t));
+		this.timers.at(now + this.connectTime.limitMillis(), (t) -> handleConnectTimeout(call, attempt, t));
 		return attempt;
 	}
 
-	// The connection of an attempt came up.
 	void connected(Attempt attempt, long now) {
 		this.connectTime.took(now - attempt.begunAt());
 	}
 
-	private void connectOverdue(DirectCall call, Attempt attempt, long now) {
+	private void handleConnectTimeout(DirectCall call, Attempt attempt, long now) {
 		if (call.find(attempt.number()).isPresent() && !attempt.isSent()) {
 			this.outputs.abandon(call.number(), attempt.number());
-			this.connectFailed.failed(call, attempt, now);
+			this.connectFailure.failed(call, attempt, now);
 		}
 	}
 
-	// Only what may run more than once is sent again, to another target and while there
-	// is time for an answer.
+	// Allows a retry only of a repeatable request, at another target and with enough time
+	// left for a response.
 	boolean mayTryAgain(DirectCall call, Attempt attempt, long now) {
 		DirectRequest request = call.request();
 		boolean isAllowed = Verdict.MAY_HAVE_RUN.allowsAnotherAttempt(request.route().kind().isRepeatable(),
@@ -166,7 +167,8 @@
 		return isAllowed && !this.poison.isQuarantined(call, now) && call.runs() < request.route().maxAttempts()
 				&& call.attempts() < this.settings.maxAttempts()
 				&& call.dueAt() - now > request.route().goalMillis() / this.settings.timeShareToTryAgain()
-				&& this.sender.hasUntried(call, attempt.target(), now) && this.retries.tryTake(request.service(), now);
+				&& this.sender.hasUntried(call, attempt.target(), now)
+				&& this.retryBudget.tryTake(request.service(), now);
 	}
 
 	void tryAgain(DirectCall call, Attempt attempt, String cause, long now) {
@@ -178,17 +180,15 @@
 					() -> this.ending.refuse(call, RefusalReason.TARGET_LOST, cause, now));
 	}
 
-	/**
-	 * Hears of a connection that did not come up in time.
-	 */
+	/** Handler of connections that were not established in time. */
 	@FunctionalInterface
 	interface ConnectFailure {
 
 		/**
-		 * Hear that nothing was sent.
-		 * @param call the call
-		 * @param attempt the attempt
-		 * @param now the time in milliseconds
+		 * Handle an attempt whose request was not sent.
+		 * @param call the call of the attempt
+		 * @param attempt the attempt that failed to connect
+		 * @param now the current time in milliseconds of the monotonic clock
 		 */
 		void failed(DirectCall call, Attempt attempt, long now);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -21,27 +21,27 @@
 import dev.laneworks.core.verdict.RefusalReason;
 
 /**
- * Finds out under which calls targets end, and keeps their requests from others.
+ * Detects requests that crash targets, and quarantines them.
  * <p>
- * A call whose connection broke at a target that was to stay is suspected once the target
- * is known to have ended: a connection to it is refused, or the list drops it. Not
- * suspected is a generation that had sent events for a while, since what ends a target
- * does so as it begins, and what runs at a target that is leaving, which ends anyway.
+ * A request becomes suspect if its connection broke at a target that was not draining and
+ * the target is then found to have crashed: it refuses connections, or its list entry
+ * ends. Exempt are generations that have sent events for a while, since a harmful request
+ * crashes its target early, and requests at a draining target, which was expected to end.
  */
 final class PoisonGuard {
 
 	/**
-	 * When it is looked whether a target is still there behind a break, in milliseconds:
-	 * at once, since the same request may be on its way to another entry, and again for a
-	 * target that closed its connections before its port.
+	 * Delays after a broken connection at which the target is checked: at once, since the
+	 * same request may be about to reach another entry, and later for a target that
+	 * closes its connections before its port.
 	 */
-	private static final List<Long> CHECKS_MILLIS = List.of(0L, 50L, 300L);
+	private static final List<Long> CHECK_DELAYS_MILLIS = List.of(0L, 50L, 300L);
 
 	/**
-	 * When a caller may come back while it is not known whether a third target ended, in
-	 * milliseconds; longer than the last look.
+	 * Retry-after time in milliseconds while the checks of the last target are pending;
+	 * longer than the last check's delay.
 	 */
-	private static final long UNKNOWN_MILLIS = 500;
+	private static final long PENDING_CHECK_RETRY_AFTER_MILLIS = 500;
 
 	private static final long MILLIS_PER_SECOND = 1_000;
 
@@ -49,7 +49,7 @@
 
 	private final TargetDirectory directory;
 
-	private final Predicate<ListedTarget> saidLeaving;
+	private final Predicate<ListedTarget> announcedDraining;
 
 	private final CallEnding ending;
 
@@ -59,54 +59,57 @@
 
 	private final AuditSink audit;
 
-	private final boolean isOn;
+	private final boolean enabled;
 
-	/** The runs of targets that told of their end before it. */
-	private final Set<TargetRun> announced = new HashSet<>();
+	/** Incarnations that announced their shutdown. */
+	private final Set<TargetRun> announcedShutdown = new HashSet<>();
 
-	private final BrokenRequests broken = new BrokenRequests();
+	private final BrokenRequests brokenRequests = new BrokenRequests();
 
-	PoisonGuard(SuspectRequests suspects, TargetDirectory directory, Predicate<ListedTarget> saidLeaving,
-			CallEnding ending, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean isOn) {
+	PoisonGuard(SuspectRequests suspects, TargetDirectory directory, Predicate<ListedTarget> announcedDraining,
+			CallEnding ending, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
 		this.suspects = suspects;
 		this.directory = directory;
-		this.saidLeaving = saidLeaving;
+		this.announcedDraining = announcedDraining;
 		this.ending = ending;
 		this.timers = timers;
 		this.outputs = outputs;
 		this.audit = audit;
-		this.isOn = isOn;
+		this.enabled = enabled;
 	}
 
-	// Whether a call's request is kept from targets now. Targets at which it has just
-	// broken off count as ended: where a third one may have, its copy is not to end a
-	// fourth until that is known.
+	// Targets whose connections just broke count as crashed until they are checked, so
+	// that the request cannot crash one more target meanwhile.
 	boolean isQuarantined(DirectCall call, long now) {
-		return this.isOn && quarantinedFor(call.request().digest(), now).isPresent();
+		return this.enabled && quarantineLeftMillis(call.request().digest(), now).isPresent();
 	}
 
-	private OptionalLong quarantinedFor(RequestDigest digest, long now) {
+	private OptionalLong quarantineLeftMillis(RequestDigest digest, long now) {
 		OptionalLong left = this.suspects.quarantinedFor(digest, now);
 		Set<TargetRun> runs = this.suspects.endedUnder(digest);
-		int missing = this.suspects.endsMissing(digest);
-		if (left.isPresent() || runs.isEmpty() || missing == 0) {
+		int crashesMissing = this.suspects.endsMissing(digest);
+		if (left.isPresent() || runs.isEmpty() || crashesMissing == 0) {
 			return left;
 		}
-		long mayHaveEnded = this.broken.brokenOffAt(digest, now).stream().filter((r) -> !runs.contains(r)).count();
-		return (mayHaveEnded >= missing) ? OptionalLong.of(UNKNOWN_MILLIS) : OptionalLong.empty();
+		long possiblyCrashed = this.brokenRequests.brokenOffAt(digest, now)
+			.stream()
+			.filter((r) -> !runs.contains(r))
+			.count();
+		return (possiblyCrashed >= crashesMissing) ? OptionalLong.of(PENDING_CHECK_RETRY_AFTER_MILLIS)
+				: OptionalLong.empty();
 	}
 
 	/**
-	 * Refuse a call whose request is kept from targets. Its caller learns at once that
-	 * nothing is tried and for how long.
-	 * @param call the call
-	 * @param now the time in milliseconds
-	 * @return whether it was refused
+	 * Refuse a call whose request is quarantined, with the time left as its retry-after
+	 * time.
+	 * @param call the call to check
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return {@code true} if the call was refused
 	 */
 	boolean refuse(DirectCall call, long now) {
 		RequestDigest digest = call.request().digest();
-		OptionalLong left = quarantinedFor(digest, now);
-		if (!this.isOn || left.isEmpty()) {
+		OptionalLong left = quarantineLeftMillis(digest, now);
+		if (!this.enabled || left.isEmpty()) {
 			return false;
 		}
 		String runs = this.suspects.endedUnder(digest)
@@ -115,87 +118,89 @@
 			.sorted()
 			.collect(Collectors.joining(", "));
 		this.ending.refuse(call, RefusalReason.QUARANTINED,
-				new Shortage("targets ended under this request, digest " + digest.label() + ": " + runs
-						+ "; it is sent to none for " + (left.getAsLong() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND
-						+ " s", left),
+				new Shortage("targets crashed while executing this request, digest " + digest.label() + ": " + runs
+						+ "; it is not sent to any target for "
+						+ (left.getAsLong() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND + " s", left),
 				now);
 		return true;
 	}
 
 	/**
-	 * Take that the connection of an attempt broke.
-	 * @param call the call
-	 * @param attempt the attempt, which was sent
-	 * @param now the time in milliseconds
+	 * Handle the broken connection of an attempt that was sent, and check whether its
+	 * target is alive.
+	 * @param call the call of the attempt
+	 * @param attempt the attempt whose connection broke
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void brokeOff(DirectCall call, Attempt attempt, long now) {
 		ListedTarget target = attempt.target();
-		boolean wasToStay = this.directory.isStaying(target) || this.directory.isFormerRun(target);
-		if (!this.isOn || call.isCleared() || !wasToStay || this.announced.contains(target.run())
-				|| this.saidLeaving.test(target)) {
+		boolean wasExpectedToStay = this.directory.isStaying(target) || this.directory.isFormerRun(target);
+		if (!this.enabled || call.isCleared() || !wasExpectedToStay || this.announcedShutdown.contains(target.run())
+				|| this.announcedDraining.test(target)) {
 			return;
 		}
-		if (this.broken.add(call.request().digest(), call.request().id(), target.run(), now)) {
-			CHECKS_MILLIS.forEach((m) -> this.timers.at(now + m, (t) -> this.outputs.check(target)));
+		if (this.brokenRequests.add(call.request().digest(), call.request().id(), target.run(), now)) {
+			CHECK_DELAYS_MILLIS.forEach((m) -> this.timers.at(now + m, (t) -> this.outputs.check(target)));
 		}
 	}
 
 	/**
-	 * Take that a connection to a target was refused: it has ended.
-	 * @param target the target
-	 * @param now the time in milliseconds
+	 * Handle a refused connection, which shows that the target has crashed.
+	 * @param target the target that refused the connection
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void refused(ListedTarget target, long now) {
-		ended(target, "connections are refused", now);
+		recordCrash(target, "it refuses connections", now);
 	}
 
 	/**
-	 * Take that a target takes connections, behind breaks that its end would explain.
-	 * @param target the target
-	 * @param now the time in milliseconds
+	 * Handle an established connection, which shows that the target is alive.
+	 * @param target the target that accepted the connection
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void reached(ListedTarget target, long now) {
-		this.broken.isAlive(target.run(), now);
+		this.brokenRequests.isAlive(target.run(), now);
 	}
 
 	/**
-	 * Take that the list shows a target to be leaving or over. Where it did not say so
-	 * itself, it has ended if connections to it broke before.
-	 * @param target the target
-	 * @param cause what was seen
-	 * @param now the time in milliseconds
+	 * Handle a target that is draining or has ended. Unless it announced this itself or
+	 * by rejecting a request, it counts as crashed under the requests whose connections
+	 * broke before.
+	 * @param target the target whose list entry changed
+	 * @param cause the reason that was observed
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void leaving(ListedTarget target, LeavingCause cause, long now) {
 		switch (cause) {
-			case VANISHED, LAPSED, ADDRESS_TAKEN, STARTED_AGAIN -> ended(target, "the list says " + cause, now);
+			case VANISHED, LAPSED, ADDRESS_TAKEN, STARTED_AGAIN ->
+				recordCrash(target, "the target list reports " + cause, now);
 			case SAID_SO, SAID_SO_WHEN_ASKED, REFUSED -> {
-				this.announced.add(target.run());
-				this.broken.forget(target.run());
+				this.announcedShutdown.add(target.run());
+				this.brokenRequests.forget(target.run());
 			}
 		}
 	}
 
 	/**
-	 * Take that a target is not listed any more. Calls that are still open at a run which
-	 * was to stay broke off with it.
-	 * @param target the target
-	 * @param now the time in milliseconds
+	 * Handle a target that is no longer listed. If a newer incarnation replaced it, it
+	 * counts as crashed.
+	 * @param target the removed target
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void gone(ListedTarget target, long now) {
 		if (this.directory.isFormerRun(target)) {
-			ended(target, "another run of it is listed", now);
+			recordCrash(target, "another incarnation is listed", now);
 		}
-		this.announced.remove(target.run());
+		this.announcedShutdown.remove(target.run());
 	}
 
-	// A call's request ran whole.
 	void ranWhole(DirectCall call, long now) {
-		if (this.isOn) {
+		if (this.enabled) {
 			this.suspects.ranWhole(call.request().digest(), now);
 		}
 	}
 
-	// An event of a call's generation came.
+	// Clears the request of a generation that has sent events for long enough.
 	void event(DirectCall call, Attempt attempt, long now) {
 		if (!call.isCleared() && now - attempt.answeringAt() >= this.suspects.settings().clearedMillis()) {
 			call.clear();
@@ -203,13 +208,13 @@
 		}
 	}
 
-	private void ended(ListedTarget target, String evidence, long now) {
-		for (BrokenRequests.Broken request : this.broken.endOf(target.run(), now)) {
+	private void recordCrash(ListedTarget target, String evidence, long now) {
+		for (BrokenRequests.Broken request : this.brokenRequests.endOf(target.run(), now)) {
 			boolean isNew = this.suspects.ended(request.digest(), target.run(), request.brokenAt(), now);
 			this.audit.record(AuditEvent.of(AuditKind.SUSPECTED, request.requestId(), target.id(),
-					"the target ended under it, " + evidence + "; digest " + request.digest().label() + ", "
-							+ this.suspects.endedUnder(request.digest()).size() + " ended so far"
-							+ (isNew ? "" : ", which was known")));
+					"the target crashed while executing it, " + evidence + "; digest " + request.digest().label() + ", "
+							+ this.suspects.endedUnder(request.digest()).size() + " crashes so far"
+							+ (isNew ? "" : ", already recorded")));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PromptPart.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PromptPart.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * A part of a prompt that an engine may keep and read again.
+ * Part of a prompt whose KV cache an engine may reuse.
  *
- * @param id the part's name
- * @param tokens its length
+ * @param id the identifier of the part
+ * @param tokens the length in tokens
  * @since 0.2
  */
 public record PromptPart(String id, long tokens) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ResumePoint.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ResumePoint.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Where a running generation goes on from.
+ * Position from which a running generation resumes at another engine.
  *
  * @param source the address of the target that made the copy
- * @param handle the copy's name there
- * @param lastEvent the last event that the caller was sent, or empty text for none
+ * @param handle the name of the copy at the source
+ * @param lastEvent the last event that the caller received, or an empty string for none
  * @since 0.2
  */
 public record ResumePoint(String source, String handle, String lastEvent) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/RetryWindow.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/RetryWindow.java
@@ -10,14 +10,14 @@
 import dev.laneworks.core.gossip.ServiceSpending;
 
 /**
- * This process's part of a fleet-wide bound on repeated sendings, kept without a shared
- * counter.
+ * Sliding-window retry budget of this process, which keeps a fleet-wide limit without a
+ * shared counter.
  * <p>
- * The fleet may repeat, in any window, a share of its requests to a service and a fixed
- * number besides. Each process may always spend the share of the requests that it saw
- * itself and a fraction of the number, so that the sum stays inside whatever processes
- * come, go or stop. Where it knows what the others have spent it may spend more, as long
- * as all together stay clear of the bound. Not thread-safe.
+ * In any window, the fleet may retry a share of its requests to a service plus a fixed
+ * number. Each process may always spend the share of its own requests and its part of the
+ * fixed number, so that the sum stays within the limit while processes join, leave or
+ * pause. A process that receives the spending of others may spend more, while all
+ * together stay below the limit with a margin. Not thread-safe.
  *
  * @since 0.2
  */
@@ -30,10 +30,10 @@
 	private double fixed;
 
 	/**
-	 * The part of the bound that processes spend together. What they know of each other
-	 * is up to a second old, and what a process spent before it died is known in part.
+	 * Fraction of the fleet-wide limit that processes may spend together. The margin
+	 * covers gossip updates that are late or lost when a process dies.
 	 */
-	private static final double TOGETHER = 0.7;
+	private static final double SHARED_LIMIT_FRACTION = 0.7;
 
 	private final double fleetFixed;
 
@@ -42,12 +42,12 @@
 	private final Map<String, ServiceWindow> services = new HashMap<>();
 
 	/**
-	 * Create a window.
-	 * @param windowMillis its length in milliseconds
-	 * @param ratio the repeated sendings allowed for each request seen
-	 * @param fixed this process's part of the fixed number
-	 * @param fleetFixed the whole fixed number
-	 * @param others tells what other processes have spent
+	 * Create an empty window.
+	 * @param windowMillis the window length in milliseconds
+	 * @param ratio the retries allowed per request received
+	 * @param fixed this process's part of the fixed number of retries
+	 * @param fleetFixed the fixed number of retries of the fleet
+	 * @param others the source of the spending of other processes
 	 */
 	public RetryWindow(long windowMillis, double ratio, double fixed, double fleetFixed, SpendingOfOthers others) {
 		this.fleetFixed = fleetFixed;
@@ -61,9 +61,9 @@
 	}
 
 	/**
-	 * Change what is allowed; what was spent counts on.
-	 * @param newRatio the repeated sendings allowed for each request seen
-	 * @param newFixed this process's part of the fixed number
+	 * Change the limits. Retries that were spent before still count.
+	 * @param newRatio the retries allowed per request received
+	 * @param newFixed this process's part of the fixed number of retries
 	 */
 	public void allow(double newRatio, double newFixed) {
 		this.ratio = newRatio;
@@ -71,45 +71,45 @@
 	}
 
 	/**
-	 * Record a request of a caller.
-	 * @param service the service that it is routed to
-	 * @param now the time in milliseconds
+	 * Record a request received from a caller.
+	 * @param service the service to which the request is routed
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void recordRequest(String service, long now) {
 		window(service, now).requests.add(now);
 	}
 
 	/**
-	 * Take one repeated sending if there is one left.
-	 * @param service the service
-	 * @param now the time in milliseconds
-	 * @return {@code false} if the part is spent
+	 * Spend one retry if the budget allows it.
+	 * @param service the service to which the request is routed
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return {@code false} if the budget is exhausted
 	 */
 	public boolean tryTake(String service, long now) {
 		ServiceWindow window = window(service, now);
-		boolean isOwn = window.repeats.size() + 1 <= this.ratio * window.requests.size() + this.fixed;
-		if (!isOwn && !isWithinAll(service, window, now)) {
+		boolean isWithinOwnShare = window.retries.size() + 1 <= this.ratio * window.requests.size() + this.fixed;
+		if (!isWithinOwnShare && !isWithinFleetLimit(service, window, now)) {
 			return false;
 		}
-		window.repeats.add(now);
+		window.retries.add(now);
 		return true;
 	}
 
 	/**
-	 * Return what this process spent in the window.
-	 * @param now the time in milliseconds
-	 * @return its spending on each service that it saw requests for
+	 * Return the requests and retries of this process within the window.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return one entry per service for which requests were received
 	 */
 	public List<ServiceSpending> spending(long now) {
 		return this.services.keySet().stream().map((s) -> {
 			ServiceWindow window = window(s, now);
-			return new ServiceSpending(s, window.requests.size(), window.repeats.size());
+			return new ServiceSpending(s, window.requests.size(), window.retries.size());
 		}).toList();
 	}
 
-	private boolean isWithinAll(String service, ServiceWindow window, long now) {
+	private boolean isWithinFleetLimit(String service, ServiceWindow window, long now) {
 		return this.others.spending(service, this.windowMillis, now)
-			.filter((o) -> o.repeats() + window.repeats.size() + 1 <= TOGETHER
+			.filter((o) -> o.repeats() + window.retries.size() + 1 <= SHARED_LIMIT_FRACTION
 					* (this.ratio * (o.requests() + window.requests.size()) + this.fleetFixed))
 			.isPresent();
 	}
@@ -120,18 +120,16 @@
 		return window;
 	}
 
-	/**
-	 * Tells what other processes have spent.
-	 */
+	/** Source of the retries spent by other processes. */
 	@FunctionalInterface
 	public interface SpendingOfOthers {
 
 		/**
-		 * Return what they have spent on a service, as far as is known.
+		 * Return the total requests and retries of other processes for a service.
 		 * @param service the service's name
-		 * @param windowMillis the budget's window
-		 * @param now the time in milliseconds
-		 * @return the sum, or empty if nothing is known of others
+		 * @param windowMillis the window length in milliseconds
+		 * @param now the current time in milliseconds of the monotonic clock
+		 * @return the sum, or empty if nothing is known of other processes
 		 */
 		Optional<ServiceSpending> spending(String service, long windowMillis, long now);
 
@@ -141,11 +139,11 @@
 
 		private final Deque<Long> requests = new ArrayDeque<>();
 
-		private final Deque<Long> repeats = new ArrayDeque<>();
+		private final Deque<Long> retries = new ArrayDeque<>();
 
 		void forgetBefore(long time) {
 			forgetBefore(this.requests, time);
-			forgetBefore(this.repeats, time);
+			forgetBefore(this.retries, time);
 		}
 
 		private static void forgetBefore(Deque<Long> times, long time) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Scope.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Scope.java
@@ -6,11 +6,11 @@
 import dev.laneworks.core.serving.AllowedRegions;
 
 /**
- * The targets that come into question for a request.
+ * Candidate filter that selects the targets a request may be sent to.
  *
- * @param service the service that answers it
- * @param regions where it may be served
- * @param tried the ids of targets that are left out; may change while this is held
+ * @param service the service that serves the request
+ * @param regions the regions in which the request may be served
+ * @param tried the ids of targets to exclude; may change while the scope is in use
  * @since 0.3
  */
 public record Scope(String service, AllowedRegions regions, Set<String> tried) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/SendOrder.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/SendOrder.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * How a request is sent to a target.
+ * Parameters with which a request is sent to a target.
  *
- * @param account the client account, or empty text
- * @param priority the rank at the target, 0 being the highest
- * @param resume where the generation goes on from, if it began elsewhere
- * @param backup the address of the target that a copy grows at, if any
+ * @param account the client account, or an empty string
+ * @param priority the priority at the target, 0 being the highest
+ * @param resume the position to resume from, if the generation began elsewhere
+ * @param backup the address of the target that holds the live copy, if any
  * @since 0.2
  */
 public record SendOrder(String account, int priority, Optional<ResumePoint> resume, Optional<String> backup) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Shortage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Shortage.java
@@ -3,10 +3,10 @@
 import java.util.OptionalLong;
 
 /**
- * Why no target is left for a request.
+ * Reason why no target is eligible for a request.
  *
  * @param detail one sentence for the caller's operator
- * @param comeBackMillis when one is likely to be there, in milliseconds, if that is known
+ * @param comeBackMillis the retry-after time in milliseconds, if known
  */
 record Shortage(String detail, OptionalLong comeBackMillis) {
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Standby.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Standby.java
@@ -3,8 +3,8 @@
 import dev.laneworks.core.directory.ListedTarget;
 
 /**
- * A copy of a running generation that is kept up to date now and then, for when its
- * engine leaves or dies.
+ * Standby copy of a running generation, refreshed periodically and used when its engine
+ * drains or fails.
  */
 final class Standby {
 
@@ -36,7 +36,7 @@
 		return this.promisedTokens;
 	}
 
-	// The copy's name at the source; empty until it was made once.
+	// The name of the copy at the source; empty until the first copy completed.
 	String handle() {
 		return this.handle;
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -14,54 +14,51 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * Keeps copies of running generations that have no running copy, while links and memory
- * are free.
+ * Maintains standby copies of running generations that have no live copy, while links and
+ * memory are free.
  * <p>
- * A copy is made on order and brought up to date now and then, one generation at a time.
- * When its engine leaves only the newest part is still to be copied; when its engine dies
- * the generation goes on at the copy.
+ * A copy is made on order and refreshed periodically, one generation at a time. When its
+ * engine drains, only the newest tokens remain to be copied; when its engine fails, the
+ * generation resumes at the copy.
  */
 final class StandbyCopies {
 
-	/** How long a generation runs before it is worth a copy, in milliseconds. */
-	private static final long FIRST_MILLIS = 700;
+	/** Minimum time a generation runs before it is copied. */
+	private static final long MIN_RUNNING_MILLIS = 700;
 
 	/**
-	 * How often a copy is brought up to date, in milliseconds; engines free a copy that
-	 * was left alone for five seconds.
+	 * Refresh interval of a copy. Must stay below the idle time after which engines free
+	 * a copy.
 	 */
-	private static final long REFRESH_MILLIS = 2_500;
+	private static final long REFRESH_INTERVAL_MILLIS = 2_500;
 
-	/** The wait before it is looked again whether there is room, in milliseconds. */
-	private static final long AGAIN_MILLIS = 400;
+	private static final long NO_DESTINATION_DELAY_MILLIS = 400;
 
-	/** The wait while another copy is under way, in milliseconds; a refresh takes 20. */
-	private static final long BUSY_MILLIS = 60;
+	private static final long BUSY_DELAY_MILLIS = 60;
 
 	/**
-	 * How long links are left to moves after an engine's leaving was heard, in
-	 * milliseconds.
+	 * Time after a reclaim notice during which links in the data centre are reserved for
+	 * moves.
 	 */
-	private static final long QUIET_MILLIS = 1_600;
+	private static final long MOVES_ONLY_MILLIS = 1_600;
 
 	/**
-	 * How full the fleet's memory may be for new copies: what the copies hold is missing
-	 * to generations, which engines preempt for it, since some engine is away at any
-	 * time.
+	 * Maximum fleet memory utilization for new copies. Prevents copies from causing
+	 * engines to preempt generations.
 	 */
-	private static final double FLEET_FULLNESS = 0.5;
+	private static final double MAX_FLEET_UTILIZATION_NEW = 0.5;
 
-	/** How full the fleet's memory may be for a copy to be kept. */
-	private static final double KEPT_FULLNESS = 0.65;
+	/** Fleet memory utilization above which existing copies are released. */
+	private static final double MAX_FLEET_UTILIZATION_KEPT = 0.65;
 
-	/** How full an engine's memory may be for a copy to go there. */
-	private static final double ENGINE_FULLNESS = 0.82;
+	/** Maximum memory utilization of a destination engine including the copy. */
+	private static final double MAX_ENGINE_UTILIZATION = 0.82;
 
 	private final TargetDirectory directory;
 
 	private final Eligibility eligibility;
 
-	private final TargetBeliefs beliefs;
+	private final TargetBeliefs estimates;
 
 	private final TargetChooser chooser;
 
@@ -73,62 +70,62 @@
 
 	private final AuditSink audit;
 
-	private final boolean inUse;
+	private final boolean enabled;
 
-	private Optional<DirectCall> active = Optional.empty();
+	private Optional<DirectCall> activeCall = Optional.empty();
 
-	/** The engines that the active call's generation is copied from and to. */
+	/** Source and destination of the copy in progress. */
 	private List<ListedTarget> activeEngines = List.of();
 
-	/** When links are left to moves no more, by data centre. */
-	private final Map<String, Long> quietUntil = new HashMap<>();
+	/** End of the time during which links are reserved for moves, by data centre. */
+	private final Map<String, Long> movesOnlyUntil = new HashMap<>();
 
-	StandbyCopies(TargetDirectory directory, Eligibility eligibility, TargetBeliefs beliefs, TargetChooser chooser,
-			CopyTurn turn, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean inUse) {
+	StandbyCopies(TargetDirectory directory, Eligibility eligibility, TargetBeliefs estimates, TargetChooser chooser,
+			CopyTurn turn, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
 		this.directory = directory;
 		this.eligibility = eligibility;
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 		this.chooser = chooser;
 		this.turn = turn;
 		this.timers = timers;
 		this.outputs = outputs;
 		this.audit = audit;
-		this.inUse = inUse;
+		this.enabled = enabled;
 	}
 
 	/**
-	 * Take that an engine is leaving: for a while the links in its data centre are left
-	 * to moves, and no copy is begun there.
-	 * @param target the engine
-	 * @param now the time in milliseconds
+	 * Record that an engine is draining, and reserve the links in its data centre for
+	 * moves for a while.
+	 * @param target the draining engine
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void leaving(ListedTarget target, long now) {
-		this.quietUntil.put(target.dataCentre(), now + QUIET_MILLIS);
+		this.movesOnlyUntil.put(target.dataCentre(), now + MOVES_ONLY_MILLIS);
 	}
 
 	/**
-	 * Look after an attempt's generation from its first event on.
-	 * @param call the call
-	 * @param attempt the attempt
-	 * @param engine what the service's engines can do
-	 * @param now the time in milliseconds
+	 * Schedule standby copies for the generation of an attempt that sent its first event.
+	 * @param call the call of the generation
+	 * @param attempt the attempt that runs the generation
+	 * @param engine the capabilities of the service's engines, empty if unknown
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void watch(DirectCall call, Attempt attempt, Optional<EngineSpec> engine, long now) {
 		boolean isLong = call.request().work().filter((w) -> !w.isShort()).isPresent();
-		if (this.inUse && isLong && engine.filter(EngineSpec::moves).isPresent()) {
-			lookAt(call, attempt, engine.get(), now + FIRST_MILLIS);
+		if (this.enabled && isLong && engine.filter(EngineSpec::moves).isPresent()) {
+			scheduleRefresh(call, attempt, engine.get(), now + MIN_RUNNING_MILLIS);
 		}
 	}
 
 	/**
-	 * Take how a copy ended that no move had ordered.
-	 * @param call the call
-	 * @param order the order
-	 * @param result how it ended
-	 * @param now the time in milliseconds
+	 * Handle the result of a copy that no move ordered.
+	 * @param call the call of the generation
+	 * @param order the copy order
+	 * @param result the outcome and the handle of the copy
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void copied(DirectCall call, CopyOrder order, CopyResult result, long now) {
-		endActive(call);
+		endActiveCopy(call);
 		Standby standby = call.standby().orElse(null);
 		if (standby == null || !standby.destination().isSameRun(order.destination())) {
 			if (!result.handle().isEmpty()) {
@@ -140,16 +137,16 @@
 			standby.copied(result.handle(), call.attempt().map(Attempt::heldTokens).orElse(0L));
 			return;
 		}
-		record(call, order.destination(), "standby copy ended: " + result.outcome());
+		record(call, order.destination(), "standby copy failed: " + result.outcome());
 		if (result.outcome() != CopyResult.Outcome.NO_ANSWER) {
-			this.beliefs.of(order.destination()).full(now + StreamMover.AVOID_MILLIS);
+			this.estimates.of(order.destination()).full(now + StreamMover.REJECTED_COPY_BACKOFF_MILLIS);
 		}
 		drop(call);
 	}
 
 	/**
-	 * Let go of a call's copy.
-	 * @param call the call
+	 * Release the standby copy of a call, if there is one.
+	 * @param call the call of the generation
 	 */
 	void drop(DirectCall call) {
 		call.standby().ifPresent((s) -> {
@@ -161,118 +158,120 @@
 	}
 
 	/**
-	 * Hand a call's copy over to those who use it.
-	 * @param call the call
-	 * @return the copy, if there is one
+	 * Remove the standby copy of a call from maintenance, so that the caller can use or
+	 * release it.
+	 * @param call the call of the generation
+	 * @return the copy, or empty if there is none
 	 */
 	Optional<Standby> take(DirectCall call) {
 		Optional<Standby> standby = call.standby();
 		standby.ifPresent((s) -> {
-			this.beliefs.change(s.destination(), (b) -> b.held(-s.promisedTokens()));
+			this.estimates.change(s.destination(), (b) -> b.held(-s.promisedTokens()));
 			call.standby(Optional.empty());
 		});
-		endActive(call);
+		endActiveCopy(call);
 		return standby;
 	}
 
-	private void endActive(DirectCall call) {
-		if (this.active.filter((c) -> c == call).isPresent()) {
-			this.active = Optional.empty();
-			this.activeEngines.forEach((e) -> this.beliefs.change(e, (b) -> b.copying(-1)));
+	private void endActiveCopy(DirectCall call) {
+		if (this.activeCall.filter((c) -> c == call).isPresent()) {
+			this.activeCall = Optional.empty();
+			this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.copying(-1)));
 			this.activeEngines = List.of();
 		}
 	}
 
-	private void lookAt(DirectCall call, Attempt attempt, EngineSpec engine, long due) {
-		this.timers.at(due, (t) -> look(call, attempt, engine, t));
+	private void scheduleRefresh(DirectCall call, Attempt attempt, EngineSpec engine, long due) {
+		this.timers.at(due, (t) -> refresh(call, attempt, engine, t));
 	}
 
-	private void look(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
+	private void refresh(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
 		if (call.attempt().orElse(null) != attempt || !this.directory.isStaying(attempt.target())) {
 			return;
 		}
-		boolean hasRunningCopy = attempt.backup().filter((b) -> this.eligibility.isSound(b, now)).isPresent();
-		if (hasRunningCopy) {
-			lookAt(call, attempt, engine, now + REFRESH_MILLIS);
+		boolean hasLiveCopy = attempt.backup().filter((b) -> this.eligibility.isSound(b, now)).isPresent();
+		if (hasLiveCopy) {
+			scheduleRefresh(call, attempt, engine, now + REFRESH_INTERVAL_MILLIS);
 			return;
 		}
 		dropIfUseless(call, engine, now);
-		dropIfCrowded(call, attempt, engine, now);
-		if (this.active.isPresent() || call.copying().isPresent()) {
-			lookAt(call, attempt, engine, now + BUSY_MILLIS);
+		dropIfFleetFull(call, attempt, engine, now);
+		if (this.activeCall.isPresent() || call.copying().isPresent()) {
+			scheduleRefresh(call, attempt, engine, now + BUSY_DELAY_MILLIS);
 			return;
 		}
 		Optional<ListedTarget> destination = call.standby()
 			.map(Standby::destination)
-			.or(() -> choose(call, attempt, engine, now));
+			.or(() -> chooseDestination(call, attempt, engine, now));
 		if (destination.isEmpty()) {
-			lookAt(call, attempt, engine, now + AGAIN_MILLIS);
+			scheduleRefresh(call, attempt, engine, now + NO_DESTINATION_DELAY_MILLIS);
 			return;
 		}
-		if (isBusy(attempt.target(), destination.get(), now)) {
-			lookAt(call, attempt, engine, now + BUSY_MILLIS);
+		if (areLinksBusy(attempt.target(), destination.get(), now)) {
+			scheduleRefresh(call, attempt, engine, now + BUSY_DELAY_MILLIS);
 			return;
 		}
 		if (call.standby().isEmpty()) {
-			begin(call, attempt, destination.get());
+			startCopy(call, attempt, destination.get());
 		}
 		order(call, attempt.target(), destination.get());
-		lookAt(call, attempt, engine, now + REFRESH_MILLIS);
+		scheduleRefresh(call, attempt, engine, now + REFRESH_INTERVAL_MILLIS);
 	}
 
-	private void dropIfCrowded(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
-		boolean isCrowded = call.standby().isPresent()
-				&& this.chooser.fleetFullness(attempt.target().service(), engine, now) > KEPT_FULLNESS;
-		if (isCrowded) {
-			record(call, call.standby().get().destination(), "standby copy given up: the fleet is crowded");
+	private void dropIfFleetFull(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
+		boolean isFleetFull = call.standby().isPresent()
+				&& this.chooser.fleetFullness(attempt.target().service(), engine, now) > MAX_FLEET_UTILIZATION_KEPT;
+		if (isFleetFull) {
+			record(call, call.standby().get().destination(),
+					"standby copy released: the memory utilization of the fleet is too high");
 			drop(call);
 		}
 	}
 
-	private boolean isBusy(ListedTarget source, ListedTarget destination, long now) {
-		return now < this.quietUntil.getOrDefault(source.dataCentre(), 0L)
-				|| now < this.quietUntil.getOrDefault(destination.dataCentre(), 0L)
+	private boolean areLinksBusy(ListedTarget source, ListedTarget destination, long now) {
+		return now < this.movesOnlyUntil.getOrDefault(source.dataCentre(), 0L)
+				|| now < this.movesOnlyUntil.getOrDefault(destination.dataCentre(), 0L)
 				|| !this.turn.isQuiet(source, destination);
 	}
 
 	private void order(DirectCall call, ListedTarget source, ListedTarget destination) {
-		this.active = Optional.of(call);
+		this.activeCall = Optional.of(call);
 		this.activeEngines = List.of(source, destination);
-		this.activeEngines.forEach((e) -> this.beliefs.change(e, (b) -> b.copying(1)));
+		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.copying(1)));
 		this.outputs.copy(call.number(), new CopyOrder(call.request().id(), source, destination, false));
 	}
 
-	private Optional<ListedTarget> choose(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
+	private Optional<ListedTarget> chooseDestination(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
 		ListedTarget source = attempt.target();
-		if (this.chooser.fleetFullness(source.service(), engine, now) > FLEET_FULLNESS) {
+		if (this.chooser.fleetFullness(source.service(), engine, now) > MAX_FLEET_UTILIZATION_NEW) {
 			return Optional.empty();
 		}
 		return this.chooser.chooseBackup(source, call.scopeWithout(Set.of()), engine, attempt.heldTokens(),
-				ENGINE_FULLNESS, now);
+				MAX_ENGINE_UTILIZATION, now);
 	}
 
-	private void begin(DirectCall call, Attempt attempt, ListedTarget destination) {
+	private void startCopy(DirectCall call, Attempt attempt, ListedTarget destination) {
 		long tokens = attempt.heldTokens();
-		this.beliefs.change(destination, (b) -> b.held(tokens));
+		this.estimates.change(destination, (b) -> b.held(tokens));
 		call.standby(Optional.of(new Standby(attempt.target(), destination, tokens)));
-		record(call, destination, "standby copy begins");
+		record(call, destination, "standby copy started");
 	}
 
 	/**
-	 * Give a call's copy up if its engine is leaving or evacuated, or its memory is
-	 * needed.
-	 * @param call the call
-	 * @param engine what the service's engines can do
-	 * @param now the time in milliseconds
+	 * Release the standby copy of a call if its engine no longer accepts work or is short
+	 * of memory.
+	 * @param call the call of the generation
+	 * @param engine the capabilities of the service's engines
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void dropIfUseless(DirectCall call, EngineSpec engine, long now) {
-		boolean isUseless = call.standby()
+		boolean isUnusable = call.standby()
 			.filter((s) -> !this.eligibility.isSound(s.destination(), now)
 					|| this.chooser.fullness(s.destination(), engine, now) > AttemptSender.CROWDED_FULLNESS)
 			.isPresent();
-		if (isUseless) {
+		if (isUnusable) {
 			record(call, call.standby().get().destination(),
-					"standby copy given up: its engine is leaving, evacuated, doubted or crowded");
+					"standby copy released: its engine is draining, evacuated, unreachable or short of memory");
 			drop(call);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -12,59 +12,56 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * Moves running generations from an engine that is leaving to others, one after the
- * other.
+ * Moves running generations from a draining engine to other engines, one at a time.
  * <p>
- * A generation's memory is copied while the run goes on, until a round finds the links
- * without a queue; then the run is stopped, the little that is new is copied, and the
- * generation goes on at the copy. The engine's link carries one copy at a time anyway, so
- * that a queue of our own costs nothing and spares each generation the wait for the
- * copies behind it. The smallest goes first, since most are saved so.
+ * The KV cache of a generation is copied while it runs, until a copy completes fast
+ * enough to show that the links are idle. The generation is then stopped, the remaining
+ * tokens are copied, and it resumes at the destination. An engine's link carries one copy
+ * at a time, so queued copies do not lose throughput. The smallest copy goes first, which
+ * maximizes the number of generations moved within the reclaim notice.
  */
 final class StreamMover {
 
 	/**
-	 * The most tokens of a generation that ends within any notice; a token takes about
-	 * eight milliseconds.
+	 * Generations with fewer tokens finish within the reclaim notice and are not moved.
 	 */
-	private static final long SHORT_TOKENS = 100;
+	private static final long SHORT_GENERATION_TOKENS = 100;
 
 	/**
-	 * A copy that took no longer than this met links without a queue, in milliseconds.
-	 * The run is stopped behind such a one, since the pause that callers allow is 180 ms.
+	 * Maximum duration of a copy after which the generation is stopped. Bounds the pause
+	 * that the caller sees.
 	 */
-	private static final long QUICK_MILLIS = 60;
+	private static final long FAST_COPY_MILLIS = 60;
 
 	/**
-	 * How long after the notice the run is stopped whatever the links' queues, in
-	 * milliseconds; leaves time for the last part within a notice of a second and a half.
+	 * Time after the reclaim notice from which a generation is stopped regardless of copy
+	 * duration. Leaves time for the final copy.
 	 */
-	private static final long LATEST_MILLIS = 1_250;
+	private static final long FORCED_STOP_MILLIS = 1_250;
 
-	/** How long after the notice no more copies are tried, in milliseconds. */
-	private static final long HOPELESS_MILLIS = 6_000;
+	/** Time after the reclaim notice from which no more copies are attempted. */
+	private static final long GIVE_UP_MILLIS = 6_000;
 
-	/** The wait before an order that could not be carried out is given again. */
-	private static final long AGAIN_MILLIS = 40;
+	private static final long RETRY_DELAY_MILLIS = 40;
 
-	/** What is copied within a few milliseconds, in tokens. */
-	private static final long NEARLY_COPIED_TOKENS = 600;
+	/** Copies up to this size bypass the turn between entries. */
+	private static final long SMALL_COPY_TOKENS = 600;
 
-	/** How long after the notice whole copies wait for what is nearly copied. */
-	private static final long NEARLY_COPIED_MILLIS = 70;
+	/** Time after the reclaim notice that is reserved for small copies. */
+	private static final long SMALL_COPIES_FIRST_MILLIS = 70;
 
-	/** How often it is looked whether the turn has come, in milliseconds. */
-	private static final long LOOK_MILLIS = 8;
+	/** Polling interval while another entry has the turn. */
+	private static final long TURN_POLL_MILLIS = 8;
 
-	/** How long an engine that took no copy is left alone, in milliseconds. */
-	static final long AVOID_MILLIS = 1_000;
+	/** Backoff of an engine that rejected a copy or failed to receive it. */
+	static final long REJECTED_COPY_BACKOFF_MILLIS = 1_000;
 
-	/** How long the stopped run's last events are waited for, in milliseconds. */
-	private static final long LAST_EVENTS_MILLIS = 40;
+	/** Maximum wait for the last events of a stopped generation. */
+	private static final long FINAL_EVENTS_TIMEOUT_MILLIS = 40;
 
 	private final TargetChooser chooser;
 
-	private final TargetBeliefs beliefs;
+	private final TargetBeliefs estimates;
 
 	private final StandbyCopies standbys;
 
@@ -80,10 +77,10 @@
 
 	private final Map<TargetRun, MoveQueue> queues = new HashMap<>();
 
-	StreamMover(TargetChooser chooser, TargetBeliefs beliefs, StandbyCopies standbys, CopyTurn turn, Timers timers,
+	StreamMover(TargetChooser chooser, TargetBeliefs estimates, StandbyCopies standbys, CopyTurn turn, Timers timers,
 			DispatchOutputs outputs, AuditSink audit, Resumption resumption) {
 		this.chooser = chooser;
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 		this.standbys = standbys;
 		this.turn = turn;
 		this.timers = timers;
@@ -98,19 +95,21 @@
 		}
 		ListedTarget source = call.attempt().get().target();
 		call.copy(new Copying(source));
-		long noticedAt = this.beliefs.of(source).leavingSince().orElse(now);
+		long noticedAt = this.estimates.of(source).leavingSince().orElse(now);
 		MoveQueue queue = this.queues.computeIfAbsent(source.run(),
-				(run) -> new MoveQueue(source, noticedAt, this.beliefs));
+				(run) -> new MoveQueue(source, noticedAt, this.estimates));
 		queue.add(call);
-		// All that run there are to be queued before the first is chosen.
-		lookAgain(queue, now);
+		// Deferred, so that all generations of the engine are queued before the first is
+		// selected.
+		schedulePoll(queue, now);
 	}
 
 	/**
-	 * Take that the connection to the source ended.
-	 * @param call the call
-	 * @param now the time in milliseconds
-	 * @return whether that was to be expected, because the run was told to stop
+	 * Handle the end of the connection to the source engine.
+	 * @param call the call whose connection ended
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return {@code true} if the end was expected because the generation was ordered to
+	 * stop
 	 */
 	boolean expectsEnd(DirectCall call, long now) {
 		Optional<Copying> copying = call.copying();
@@ -120,16 +119,16 @@
 		}
 		copying.get().sourceClosed();
 		if (copying.get().phase() == CopyPhase.STOPPED) {
-			goOn(call, copying.get(), now);
+			resumeAtDestination(call, copying.get(), now);
 		}
 		return true;
 	}
 
 	/**
-	 * Return whether a copy was ordered by the move that is under way.
-	 * @param call the call
-	 * @param order the order
-	 * @return {@code false} if it was ordered otherwise or by an earlier move
+	 * Determine whether the current move of a call issued a copy order.
+	 * @param call the call that is moved
+	 * @param order the copy order
+	 * @return {@code false} if an earlier move or a standby copy issued the order
 	 */
 	boolean ordered(DirectCall call, CopyOrder order) {
 		return call.copying()
@@ -140,249 +139,248 @@
 
 	void copied(DirectCall call, CopyOrder order, CopyResult result, long now) {
 		Copying copying = call.copying().get();
-		record(call, copying, (order.stop() ? "last part" : "first part") + " to " + order.destination().id() + ": "
-				+ result.outcome() + " in " + (now - copying.orderedAt()) + " ms");
+		record(call, copying, (order.stop() ? "final copy" : "copy while running") + " to " + order.destination().id()
+				+ ": " + result.outcome() + " in " + (now - copying.orderedAt()) + " ms");
 		if (!result.handle().isEmpty()) {
 			copying.handle(result.handle());
 		}
 		if (copying.phase() == CopyPhase.AHEAD) {
-			copiedAhead(call, copying, result, now);
+			handleRunningCopy(call, copying, result, now);
 		}
 		else if (copying.phase() == CopyPhase.STOPPING) {
-			copiedLast(call, copying, result, now);
+			handleFinalCopy(call, copying, result, now);
 		}
 	}
 
 	/**
-	 * Let go of a copy whose call is over or goes on otherwise.
-	 * @param call the call
-	 * @param now the time in milliseconds
+	 * Release the copy of a call that ended or continues without its move.
+	 * @param call the call that is moved
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void ended(DirectCall call, long now) {
 		call.copying().ifPresent((c) -> {
 			if (!c.handle().isEmpty() && c.phase() != CopyPhase.STOPPED) {
 				this.outputs.releaseCopy(c.source(), c.handle());
 			}
-			leaveQueue(call, c, now);
+			removeFromQueue(call, c, now);
 		});
 	}
 
 	/**
-	 * Take that a call goes on at what was copied of it.
-	 * @param call the call
-	 * @param now the time in milliseconds
+	 * Record that a call resumes at its partial copy, and end its move.
+	 * @param call the call that is moved
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void taken(DirectCall call, long now) {
-		call.copying().ifPresent((c) -> leaveQueue(call, c, now));
+		call.copying().ifPresent((c) -> removeFromQueue(call, c, now));
 	}
 
-	// Copies the next generation if none is being copied and it is this process's turn.
-	private void look(MoveQueue queue, long now) {
+	// Starts the next copy if none is in progress and this entry has the turn.
+	private void copyNext(MoveQueue queue, long now) {
 		Optional<DirectCall> next = queue.next(now);
 		if (next.isEmpty()) {
 			return;
 		}
-		if (mayGo(queue, next.get(), now)) {
-			copyAhead(queue, next.get(), now);
+		if (mayCopyNow(queue, next.get(), now)) {
+			copyWhileRunning(queue, next.get(), now);
 		}
 		else {
-			lookAgain(queue, now + LOOK_MILLIS);
+			schedulePoll(queue, now + TURN_POLL_MILLIS);
 		}
 	}
 
-	// What is nearly copied goes first and needs no turn; whole copies wait for it.
-	private boolean mayGo(MoveQueue queue, DirectCall next, long now) {
-		long sinceNotice = queue.sinceNotice(now);
-		if (MoveQueue.tokensToCopy(next) <= NEARLY_COPIED_TOKENS) {
+	// Small copies go first and need no turn; larger ones wait until they are done.
+	private boolean mayCopyNow(MoveQueue queue, DirectCall next, long now) {
+		long sinceNotice = queue.millisSinceNotice(now);
+		if (MoveQueue.tokensToCopy(next) <= SMALL_COPY_TOKENS) {
 			return true;
 		}
-		return sinceNotice >= NEARLY_COPIED_MILLIS && this.turn.isOurs(queue.source(), sinceNotice, now);
+		return sinceNotice >= SMALL_COPIES_FIRST_MILLIS && this.turn.isOurs(queue.source(), sinceNotice, now);
 	}
 
 	/**
-	 * Return the copy that a call can go on at though its move is not done, because its
-	 * engine is lost.
-	 * @param call the call
-	 * @param now the time in milliseconds
-	 * @return the copying whose destination has a part, if it can be used
+	 * Return the partial copy at which a call can resume after its source engine was
+	 * lost.
+	 * @param call the call that is moved
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the move whose destination holds a partial copy and accepts work, or empty
 	 */
 	Optional<Copying> copyAtHand(DirectCall call, long now) {
 		return call.copying()
 			.filter((c) -> c.partStandsAt().filter((d) -> this.resumption.takesWork(d, now)).isPresent());
 	}
 
-	private void lookAgain(MoveQueue queue, long due) {
-		if (queue.askForLook()) {
+	private void schedulePoll(MoveQueue queue, long due) {
+		if (queue.markPollScheduled()) {
 			this.timers.at(due, (t) -> {
-				queue.looked();
-				look(queue, t);
+				queue.clearPollScheduled();
+				copyNext(queue, t);
 			});
 		}
 	}
 
-	private void copyAhead(MoveQueue queue, DirectCall call, long now) {
+	private void copyWhileRunning(MoveQueue queue, DirectCall call, long now) {
 		Copying copying = call.copying().get();
 		Optional<EngineSpec> engine = this.resumption.engine(call);
 		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
 		Optional<Standby> standby = this.standbys.take(call);
 		standby.ifPresent((s) -> copying.handle(s.handle()));
-		Optional<ListedTarget> begun = standby.map(Standby::destination)
+		Optional<ListedTarget> partialCopy = standby.map(Standby::destination)
 			.or(copying::partStandsAt)
 			.filter((d) -> !copying.tried().contains(d.id()) && this.resumption.takesWork(d, now));
-		if (begun.isEmpty()) {
-			dropPart(copying);
+		if (partialCopy.isEmpty()) {
+			releasePartialCopy(copying);
 		}
-		Optional<ListedTarget> destination = begun.or(() -> engine.flatMap((e) -> this.chooser
+		Optional<ListedTarget> destination = partialCopy.or(() -> engine.flatMap((e) -> this.chooser
 			.chooseDestination(queue.source(), call.scopeWithout(copying.tried()), e, tokens, now)));
 		if (destination.isEmpty()) {
 			copying.tried().clear();
-			putBack(queue, call, now);
+			requeue(queue, call, now);
 			return;
 		}
 		copying.to(destination.get(), tokens);
-		queue.begin(call);
-		this.beliefs.change(destination.get(), (b) -> b.held(tokens));
+		queue.startCopy(call);
+		this.estimates.change(destination.get(), (b) -> b.held(tokens));
 		copying.enter(CopyPhase.AHEAD);
-		order(call, copying, now);
+		sendCopyOrder(call, copying, now);
 	}
 
-	private void dropPart(Copying copying) {
+	private void releasePartialCopy(Copying copying) {
 		if (!copying.handle().isEmpty()) {
 			this.outputs.releaseCopy(copying.source(), copying.handle());
 			copying.handle("");
 		}
 	}
 
-	private void order(DirectCall call, Copying copying, long now) {
+	private void sendCopyOrder(DirectCall call, Copying copying, long now) {
 		copying.ordered(now);
 		this.outputs.copy(call.number(), new CopyOrder(call.request().id(), copying.source(), copying.destination(),
 				copying.phase() == CopyPhase.STOPPING));
 	}
 
-	private void copiedAhead(DirectCall call, Copying copying, CopyResult result, long now) {
+	private void handleRunningCopy(DirectCall call, Copying copying, CopyResult result, long now) {
 		MoveQueue queue = this.queues.get(copying.source().run());
 		switch (result.outcome()) {
 			case COPIED -> {
 				if (this.resumption.isEvacuated(copying.destination())
 						|| this.resumption.isOver(copying.destination())) {
-					copyElsewhere(queue, call, copying, now);
+					retryAtOtherEngine(queue, call, copying, now);
 					return;
 				}
-				boolean wasQuick = now - copying.orderedAt() <= QUICK_MILLIS;
-				if (wasQuick || queue.sinceNotice(now) >= LATEST_MILLIS) {
+				boolean wasFast = now - copying.orderedAt() <= FAST_COPY_MILLIS;
+				if (wasFast || queue.millisSinceNotice(now) >= FORCED_STOP_MILLIS) {
 					copying.enter(CopyPhase.STOPPING);
 				}
-				order(call, copying, now);
+				sendCopyOrder(call, copying, now);
 			}
 			case NO_ROOM, FAILED -> {
-				avoid(copying.destination(), now);
+				backOff(copying.destination(), now);
 				copying.handle("");
-				copyElsewhere(queue, call, copying, now);
+				retryAtOtherEngine(queue, call, copying, now);
 			}
-			// Nothing is wrong with the destination; the run's own connection tells more.
+			// Not attributed to the destination: the source did not make the copy.
 			case NO_ANSWER, UNDER_WAY, NO_SUCH_RUN -> {
-				release(copying);
-				queue.endActive();
-				putBack(queue, call, now);
+				releaseReservation(copying);
+				queue.endActiveCopy();
+				requeue(queue, call, now);
 			}
 		}
 	}
 
-	private void copyElsewhere(MoveQueue queue, DirectCall call, Copying copying, long now) {
+	private void retryAtOtherEngine(MoveQueue queue, DirectCall call, Copying copying, long now) {
 		copying.tried().add(copying.destination().id());
-		dropPart(copying);
-		release(copying);
-		queue.endActive();
-		copyAhead(queue, call, now);
+		releasePartialCopy(copying);
+		releaseReservation(copying);
+		queue.endActiveCopy();
+		copyWhileRunning(queue, call, now);
 	}
 
-	// A destination without room, or one that is dead, is left alone for a moment.
-	private void avoid(ListedTarget destination, long now) {
-		this.beliefs.of(destination).full(now + AVOID_MILLIS);
+	private void backOff(ListedTarget destination, long now) {
+		this.estimates.of(destination).full(now + REJECTED_COPY_BACKOFF_MILLIS);
 	}
 
-	private void putBack(MoveQueue queue, DirectCall call, long now) {
+	private void requeue(MoveQueue queue, DirectCall call, long now) {
 		Copying copying = call.copying().get();
-		if (queue.sinceNotice(now) > HOPELESS_MILLIS) {
-			leaveQueue(call, copying, now);
+		if (queue.millisSinceNotice(now) > GIVE_UP_MILLIS) {
+			removeFromQueue(call, copying, now);
 			return;
 		}
 		copying.enter(CopyPhase.WAITING);
-		copying.notBefore(now + AGAIN_MILLIS);
-		queue.putBack(call);
+		copying.notBefore(now + RETRY_DELAY_MILLIS);
+		queue.requeue(call);
 		this.timers.at(copying.notBefore(), (t) -> {
-			if (queue.readyAgain(call)) {
-				look(queue, t);
+			if (queue.markReady(call)) {
+				copyNext(queue, t);
 			}
 		});
-		look(queue, now);
+		copyNext(queue, now);
 	}
 
-	private void copiedLast(DirectCall call, Copying copying, CopyResult result, long now) {
+	private void handleFinalCopy(DirectCall call, Copying copying, CopyResult result, long now) {
 		if (result.outcome() == CopyResult.Outcome.COPIED) {
 			copying.enter(CopyPhase.STOPPED);
 			if (copying.isSourceClosed()) {
-				goOn(call, copying, now);
+				resumeAtDestination(call, copying, now);
 			}
 			else {
-				this.timers.at(now + LAST_EVENTS_MILLIS, (t) -> goOn(call, copying, t));
+				this.timers.at(now + FINAL_EVENTS_TIMEOUT_MILLIS, (t) -> resumeAtDestination(call, copying, t));
 			}
 			return;
 		}
-		stoppedWithoutCopy(call, copying, result, now);
+		handleFinalCopyFailure(call, copying, result, now);
 	}
 
-	// The run has stopped or not: where its memory stands at the source it goes on there,
-	// and where the source is gone at the part that was copied before.
-	private void stoppedWithoutCopy(DirectCall call, Copying copying, CopyResult result, long now) {
+	// If the source still holds the stopped generation it resumes there, otherwise at the
+	// last partial copy.
+	private void handleFinalCopyFailure(DirectCall call, Copying copying, CopyResult result, long now) {
 		if (!copying.isSourceClosed()) {
 			MoveQueue queue = this.queues.get(copying.source().run());
-			release(copying);
-			queue.endActive();
-			putBack(queue, call, now);
+			releaseReservation(copying);
+			queue.endActiveCopy();
+			requeue(queue, call, now);
 			return;
 		}
 		if (copying.handle().isEmpty()) {
-			leaveQueue(call, copying, now);
-			this.resumption.lost(call, "the generation stopped and its copy can't be used", now);
+			removeFromQueue(call, copying, now);
+			this.resumption.lost(call, "the generation was stopped and its copy is unusable", now);
 			return;
 		}
 		if (result.outcome() != CopyResult.Outcome.NO_ANSWER && !this.resumption.isOver(copying.source())) {
-			goBackToSource(copying);
+			resumeFromSource(copying);
 		}
 		copying.enter(CopyPhase.STOPPED);
-		goOn(call, copying, now);
+		resumeAtDestination(call, copying, now);
 	}
 
-	// The run that was stopped stands at the source until it goes on.
-	private void goBackToSource(Copying copying) {
-		release(copying);
+	// A stopped generation stays in the source's memory until it is resumed.
+	private void resumeFromSource(Copying copying) {
+		releaseReservation(copying);
 		copying.to(copying.source(), 0);
 	}
 
-	private void goOn(DirectCall call, Copying copying, long now) {
+	private void resumeAtDestination(DirectCall call, Copying copying, long now) {
 		if (call.copying().orElse(null) != copying) {
 			return;
 		}
 		if (this.resumption.isOver(copying.destination())) {
-			goBackToSource(copying);
+			resumeFromSource(copying);
 		}
 		if (this.resumption.isOver(copying.destination())) {
-			leaveQueue(call, copying, now);
-			this.resumption.lost(call, "both engines of its move started again", now);
+			removeFromQueue(call, copying, now);
+			this.resumption.lost(call, "both engines of its move were restarted", now);
 			return;
 		}
 		ListedTarget destination = copying.destination();
-		long sinceNotice = this.queues.get(copying.source().run()).sinceNotice(now);
-		record(call, copying, "goes on at " + destination.id() + " behind event " + call.lastEvent() + ", "
-				+ sinceNotice + " ms after the notice");
-		leaveQueue(call, copying, now);
+		long sinceNotice = this.queues.get(copying.source().run()).millisSinceNotice(now);
+		record(call, copying, "resumes at " + destination.id() + " after event " + call.lastEvent() + ", " + sinceNotice
+				+ " ms after the notice");
+		removeFromQueue(call, copying, now);
 		this.resumption.resume(call, destination,
 				new ResumePoint(copying.source().address(), copying.handle(), call.lastEventText()), now);
 	}
 
-	private void leaveQueue(DirectCall call, Copying copying, long now) {
-		release(copying);
+	private void removeFromQueue(DirectCall call, Copying copying, long now) {
+		releaseReservation(copying);
 		MoveQueue queue = this.queues.get(copying.source().run());
 		queue.remove(call);
 		call.endCopy();
@@ -390,22 +388,23 @@
 			this.queues.remove(copying.source().run());
 			return;
 		}
-		look(queue, now);
+		copyNext(queue, now);
 	}
 
-	// Memory was promised to the copy at its destination; the attempt promises it anew.
-	private void release(Copying copying) {
+	// Releases the destination memory reserved for the copy; the resumed attempt reserves
+	// it again.
+	private void releaseReservation(Copying copying) {
 		long tokens = copying.promisedTokens();
 		if (tokens > 0) {
-			this.beliefs.change(copying.destination(), (b) -> b.held(-tokens));
+			this.estimates.change(copying.destination(), (b) -> b.held(-tokens));
 			copying.to(copying.destination(), 0);
 		}
 	}
 
-	// A generation that ends within the notice needs no move, and its copy would hold up
-	// others.
+	// A generation that finishes within the reclaim notice needs no move and would only
+	// delay others.
 	private static boolean endsSoon(DirectCall call) {
-		return call.request().work().filter((w) -> w.maxTokens() >= SHORT_TOKENS).isEmpty();
+		return call.request().work().filter((w) -> w.maxTokens() >= SHORT_GENERATION_TOKENS).isEmpty();
 	}
 
 	private void record(DirectCall call, Copying copying, String cause) {
@@ -413,53 +412,55 @@
 	}
 
 	/**
-	 * How a call goes on after a move.
+	 * Resumes calls after a move and answers whether a target can be used for it.
+	 * Implemented by the dispatcher.
 	 */
 	interface Resumption {
 
 		/**
-		 * Send the request to where its copy is.
-		 * @param call the call
+		 * Send the request to the engine that holds its copy.
+		 * @param call the call to resume
 		 * @param destination the engine that holds the copy
-		 * @param from where the generation goes on from
-		 * @param now the time in milliseconds
+		 * @param from the copy and the last event that the caller received
+		 * @param now the current time in milliseconds of the monotonic clock
 		 */
 		void resume(DirectCall call, ListedTarget destination, ResumePoint from, long now);
 
 		/**
-		 * Take that the run stopped and no copy of it can be used.
-		 * @param call the call
-		 * @param cause what was seen
-		 * @param now the time in milliseconds
+		 * Handle a generation that was stopped and has no usable copy.
+		 * @param call the call whose generation is lost
+		 * @param cause the cause for the audit record
+		 * @param now the current time in milliseconds of the monotonic clock
 		 */
 		void lost(DirectCall call, String cause, long now);
 
 		/**
-		 * Return whether a target may be sent work.
-		 * @param target the target
-		 * @param now the time in milliseconds
-		 * @return whether it is listed, not leaving and not doubted
+		 * Determine whether a target may receive work.
+		 * @param target the target to check
+		 * @param now the current time in milliseconds of the monotonic clock
+		 * @return {@code true} if the target is listed, not draining and not suspected
+		 * unreachable
 		 */
 		boolean takesWork(ListedTarget target, long now);
 
 		/**
-		 * Return whether nothing may be sent to a target though it stays.
-		 * @param target the target
-		 * @return whether its data centre is evacuated
+		 * Determine whether a target must not receive work although it stays listed.
+		 * @param target the target to check
+		 * @return {@code true} if its data centre is evacuated
 		 */
 		boolean isEvacuated(ListedTarget target);
 
 		/**
-		 * Return whether the run of a target is over because another one is listed.
-		 * @param target the target
-		 * @return whether nothing of what ran or was copied there is left
+		 * Determine whether an incarnation of a target was replaced by a newer one.
+		 * @param target the incarnation to check
+		 * @return {@code true} if its generations and copies are lost
 		 */
 		boolean isOver(ListedTarget target);
 
 		/**
-		 * Return what the call's engines can do.
-		 * @param call the call
-		 * @return what they can do, or empty if the plan no longer tells
+		 * Return the capabilities of the engines that serve a call.
+		 * @param call the call that is moved
+		 * @return the capabilities, or empty if the current plan does not define them
 		 */
 		Optional<EngineSpec> engine(DirectCall call);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBelief.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBelief.java
@@ -5,18 +5,17 @@
 import dev.laneworks.core.directory.ListedTarget;
 
 /**
- * What this process believes of one target: what it has sent there itself, and what the
- * target told last. Not thread-safe.
+ * Recorded state of one target incarnation: this process's own work there and the
+ * target's latest reports. Not thread-safe.
  *
  * @since 0.2
  */
 public final class TargetBelief {
 
 	/**
-	 * How long what a target told of the requests of others is held for true, in
-	 * milliseconds; afterwards it counts for less and less.
+	 * Age in milliseconds up to which a load report counts fully; older reports decay.
 	 */
-	private static final long FRESH_MILLIS = 1_000;
+	private static final long LOAD_FRESH_MILLIS = 1_000;
 
 	private final TargetQuality quality = new TargetQuality();
 
@@ -40,7 +39,7 @@
 
 	private int waiting;
 
-	private long loadAt = Long.MIN_VALUE / 2;
+	private long loadReportedAt = Long.MIN_VALUE / 2;
 
 	private long fullUntil;
 
@@ -48,27 +47,27 @@
 
 	private boolean saidLeaving;
 
-	private final RefusalDoubt doubt = new RefusalDoubt();
+	private final UnreachableDetector unreachableDetector = new UnreachableDetector();
 
 	/**
-	 * Create a belief in which nothing is known.
-	 * @param target the target
+	 * Create a state without any recorded work.
+	 * @param target the target as currently listed
 	 */
 	public TargetBelief(ListedTarget target) {
 		this.target = target;
 	}
 
 	/**
-	 * Return the target.
-	 * @return the target as it was listed last
+	 * Return the target as it was listed last.
+	 * @return the most recent list entry
 	 */
 	public ListedTarget target() {
 		return this.target;
 	}
 
 	/**
-	 * Take the target's new entry.
-	 * @param listed the entry
+	 * Record the target's new list entry, which ends its removal or draining.
+	 * @param listed the new list entry
 	 */
 	public void listed(ListedTarget listed) {
 		this.target = listed;
@@ -77,16 +76,16 @@
 	}
 
 	/**
-	 * Return the connections of this process that the target refused.
-	 * @return the count since one came up last
+	 * Return the number of consecutive refused connections of this process.
+	 * @return the count since the last established connection
 	 */
 	public int refused() {
 		return this.refused;
 	}
 
 	/**
-	 * Return whether the target itself said to this process that it is leaving.
-	 * @return whether others are to be told
+	 * Determine whether the target announced its draining to this process itself.
+	 * @return {@code true} if other entries must be notified
 	 */
 	public boolean hasSaidLeaving() {
 		return this.saidLeaving;
@@ -96,38 +95,34 @@
 		this.saidLeaving = true;
 	}
 
-	// A connection was refused.
 	void connectionRefused() {
 		this.refused++;
 	}
 
-	// A connection came up.
 	void connected() {
 		this.refused = 0;
 	}
 
-	RefusalDoubt doubt() {
-		return this.doubt;
+	UnreachableDetector unreachableDetector() {
+		return this.unreachableDetector;
 	}
 
-	/**
-	 * Record that the target is not listed any more.
-	 */
+	/** Record that the target is no longer listed. */
 	public void gone() {
 		this.gone = true;
 	}
 
 	/**
-	 * Return whether the target is not listed any more.
-	 * @return whether it is gone
+	 * Determine whether the target is no longer listed.
+	 * @return {@code true} if it was removed from the list
 	 */
 	public boolean isGone() {
 		return this.gone;
 	}
 
 	/**
-	 * Record that the target is leaving, unless that is known.
-	 * @param now the time in milliseconds
+	 * Record that the target is draining. Later calls do not change the start time.
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void leaving(long now) {
 		if (this.leavingSince.isEmpty()) {
@@ -136,156 +131,155 @@
 	}
 
 	/**
-	 * Return when the target's leaving was heard.
-	 * @return the time in milliseconds, or empty if it is not leaving as far as is known
+	 * Return when the target was first seen draining.
+	 * @return the time in milliseconds of the monotonic clock, or empty if the target is
+	 * not draining
 	 */
 	public OptionalLong leavingSince() {
 		return this.leavingSince;
 	}
 
 	/**
-	 * Return how well the target has answered.
-	 * @return the quality
+	 * Return the recent response quality of the target.
+	 * @return the response statistics, used for outlier ejection
 	 */
 	public TargetQuality quality() {
 		return this.quality;
 	}
 
 	/**
-	 * Return the requests of this process that are at the target.
-	 * @return the count
+	 * Return the number of this process's requests at the target.
+	 * @return the count of requests in flight
 	 */
 	public int inFlight() {
 		return this.inFlight;
 	}
 
 	/**
-	 * Return the engine memory that this process's requests are expected to hold.
-	 * @return tokens
+	 * Return the engine memory reserved for this process's requests.
+	 * @return the reserved memory in tokens
 	 */
 	public long ownTokens() {
 		return this.ownTokens;
 	}
 
 	/**
-	 * Return the tokens of prompts that this process sent and that are not read yet.
-	 * @return tokens
+	 * Return the prompt tokens that this process sent and that the target has not read
+	 * yet.
+	 * @return the number of tokens
 	 */
 	public long ownUnread() {
 		return this.ownUnread;
 	}
 
-	/**
-	 * Record that a request is on its way to the target.
-	 */
+	/** Record that a request was sent to the target. */
 	public void began() {
 		this.inFlight++;
 	}
 
-	/**
-	 * Record that a request is not at the target any more.
-	 */
+	/** Record that a request at the target ended. */
 	public void ended() {
 		this.inFlight--;
 	}
 
 	/**
-	 * Record that engine memory is held or given back.
-	 * @param tokens the tokens; negative where they are given back
+	 * Reserve or release engine memory.
+	 * @param tokens the number of tokens; negative to release
 	 */
 	public void held(long tokens) {
 		this.ownTokens += tokens;
 	}
 
 	/**
-	 * Return how many generations of this process are to be moved away.
-	 * @return the count
+	 * Return how many generations of this process are pending to be moved away.
+	 * @return the count of pending moves
 	 */
 	public int toMove() {
 		return this.toMove;
 	}
 
 	/**
-	 * Record that a generation is to be moved away, or that it was or need not be.
-	 * @param change 1 or -1
+	 * Record a change in the number of pending moves.
+	 * @param change 1 to add a pending move, -1 to remove one
 	 */
 	public void toMove(int change) {
 		this.toMove += change;
 	}
 
 	/**
-	 * Return whether this process copies a generation from or to the target now.
-	 * @return whether a copy is under way
+	 * Determine whether this process is copying a generation from or to the target.
+	 * @return {@code true} if a copy is in progress
 	 */
 	public boolean isCopying() {
 		return this.copies > 0;
 	}
 
 	/**
-	 * Record that a copy from or to the target begins or is over.
-	 * @param change 1 or -1
+	 * Record that a copy from or to the target starts or ends.
+	 * @param change 1 at the start, -1 at the end
 	 */
 	public void copying(int change) {
 		this.copies += change;
 	}
 
 	/**
-	 * Record that a prompt is to be read, or was.
-	 * @param tokens the tokens; negative once they are read
+	 * Record prompt tokens that are sent or read.
+	 * @param tokens the number of tokens; negative once they are read
 	 */
 	public void unread(long tokens) {
 		this.ownUnread += tokens;
 	}
 
 	/**
-	 * Take what the target tells beside an answer.
-	 * @param load the load
-	 * @param now the time in milliseconds
+	 * Record a load report that came with a response of the target.
+	 * @param load the reported load
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void told(TargetLoad load, long now) {
 		this.waiting = load.waiting();
 		this.othersRunning = Math.max(0, load.running() + load.waiting() - this.inFlight);
-		this.loadAt = now;
+		this.loadReportedAt = now;
 	}
 
 	/**
-	 * Record that the target refused a request because it is full.
-	 * @param until the time up to which others are preferred, in milliseconds
+	 * Record that the target rejected a request because it is full.
+	 * @param until the time until which other targets are preferred, in milliseconds of
+	 * the monotonic clock
 	 */
 	public void full(long until) {
 		this.fullUntil = Math.max(this.fullUntil, until);
 	}
 
 	/**
-	 * Return whether the target refused a request a moment ago because it is full.
-	 * @param now the time in milliseconds
-	 * @return whether others are preferred
+	 * Determine whether the target recently rejected a request because it is full.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return {@code true} if other targets are preferred
 	 */
 	public boolean isFull(long now) {
 		return now < this.fullUntil;
 	}
 
 	/**
-	 * Return how many requests of others are believed to be at the target, by what it
-	 * told itself.
-	 * @param now the time in milliseconds
-	 * @return the count
+	 * Estimate how many requests of other processes are at the target, from its last load
+	 * report.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the count, which decays as the report ages
 	 */
 	public double othersTold(long now) {
-		return this.othersRunning * fading(now - this.loadAt);
+		return this.othersRunning * decay(now - this.loadReportedAt);
 	}
 
 	/**
-	 * Return how many requests are believed to wait at the target.
-	 * @param now the time in milliseconds
-	 * @return the count
+	 * Estimate how many requests are queued at the target, from its last load report.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the count, which decays as the report ages
 	 */
 	public double waiting(long now) {
-		return this.waiting * fading(now - this.loadAt);
+		return this.waiting * decay(now - this.loadReportedAt);
 	}
 
-	private static double fading(long age) {
-		return (age <= FRESH_MILLIS) ? 1 : Math.max(0, (double) FRESH_MILLIS / age);
+	private static double decay(long age) {
+		return (age <= LOAD_FRESH_MILLIS) ? 1 : Math.max(0, (double) LOAD_FRESH_MILLIS / age);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
@@ -13,35 +13,36 @@
 import dev.laneworks.core.gossip.WorkAtTarget;
 
 /**
- * What this process believes of all targets.
+ * Registry of the recorded state of all targets, which combines the work of this process
+ * with that of other entries.
  * <p>
- * Each belief is of one run: of a target that starts again nothing is believed. Not
+ * State is kept per incarnation, so that a restarted target begins without any. Not
  * thread-safe.
  *
  * @since 0.2
  */
 public final class TargetBeliefs {
 
-	/** The least that a doubt's time is multiplied with; the most is one more. */
-	private static final double LEAST_SPREAD = 0.5;
+	/** Lower bound of the random factor of a backoff; the upper bound is one more. */
+	private static final double MIN_BACKOFF_FACTOR = 0.5;
 
-	private final Map<TargetRun, TargetBelief> byRun = new HashMap<>();
+	private final Map<TargetRun, TargetBelief> byIncarnation = new HashMap<>();
 
 	private final Function<TargetRun, Optional<WorkAtTarget>> others;
 
 	private final RandomGenerator random;
 
-	private ChangeListener changed = (target, change) -> {
+	private ChangeListener changeListener = (target, change) -> {
 	};
 
-	private Consumer<ListedTarget> doubted = (target) -> {
+	private Consumer<ListedTarget> unreachableListener = (target) -> {
 	};
 
 	/**
-	 * Create beliefs.
-	 * @param others gives the work that other entries have at the run of a target, empty
-	 * where nothing is known of others
-	 * @param random the source of what differs from process to process
+	 * Create an empty registry.
+	 * @param others a lookup of the work of all other entries at an incarnation, empty if
+	 * none is known
+	 * @param random the source of the backoff spread between processes
 	 */
 	public TargetBeliefs(Function<TargetRun, Optional<WorkAtTarget>> others, RandomGenerator random) {
 		this.others = others;
@@ -49,195 +50,205 @@
 	}
 
 	/**
-	 * Call a listener whenever the own work at targets changes.
-	 * @param listener the listener
+	 * Register the listener for changes of this process's work at targets, replacing any
+	 * earlier one.
+	 * @param listener the listener to notify
 	 */
 	public void onChange(ChangeListener listener) {
-		this.changed = listener;
+		this.changeListener = listener;
 	}
 
 	/**
-	 * Call a listener whenever a target is newly doubted.
-	 * @param listener the listener
+	 * Register the listener for targets that become suspected unreachable, replacing any
+	 * earlier one.
+	 * @param listener the listener to notify
 	 */
 	public void onDoubt(Consumer<ListedTarget> listener) {
-		this.doubted = listener;
+		this.unreachableListener = listener;
 	}
 
 	/**
 	 * Record that a target refused a connection.
-	 * @param target the target
+	 * @param target the target that was connected to
 	 */
 	public void refused(ListedTarget target) {
 		of(target).connectionRefused();
-		this.changed.changed(target, Change.AWAITED);
+		this.changeListener.changed(target, Change.AWAITED);
 	}
 
 	/**
-	 * Record that a target said to this process that it is leaving.
-	 * @param target the target
+	 * Record that a target announced its draining to this process.
+	 * @param target the draining target
 	 */
 	public void saidLeaving(ListedTarget target) {
 		of(target).saidLeaving();
-		this.changed.changed(target, Change.LEAVING);
+		this.changeListener.changed(target, Change.LEAVING);
 	}
 
 	/**
-	 * Record that a connection to a target came up, or that it is listed anew.
-	 * @param target the target
+	 * Record that a connection to a target was established or that the target is listed
+	 * anew, and end any suspicion.
+	 * @param target the reachable target
 	 */
 	public void reached(ListedTarget target) {
-		TargetBelief belief = of(target);
-		belief.connected();
-		belief.doubt().end(refusedByAll(belief));
+		TargetBelief estimate = of(target);
+		estimate.connected();
+		estimate.unreachableDetector().reset(refusalsOfAllEntries(estimate));
 	}
 
 	/**
-	 * Return whether nothing seems to listen at a target, by the refusals of all entries.
-	 * @param target the target
-	 * @param now the time in milliseconds
-	 * @return whether it is to be left alone
+	 * Determine whether a target is suspected unreachable, by the refused connections of
+	 * all entries. Notifies the registered listener when a suspicion begins.
+	 * @param target the target to check
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return {@code true} if the target should not receive requests
 	 */
 	public boolean isDoubted(ListedTarget target, long now) {
-		TargetBelief belief = of(target);
-		if (belief.doubt().observe(refusedByAll(belief), LEAST_SPREAD + this.random.nextDouble(), now)) {
-			this.doubted.accept(target);
+		TargetBelief estimate = of(target);
+		if (estimate.unreachableDetector()
+			.observe(refusalsOfAllEntries(estimate), MIN_BACKOFF_FACTOR + this.random.nextDouble(), now)) {
+			this.unreachableListener.accept(target);
 		}
-		return belief.doubt().isDoubted(now);
+		return estimate.unreachableDetector().isUnreachable(now);
 	}
 
 	/**
-	 * Return how many targets are doubted.
-	 * @param now the time in milliseconds
-	 * @return the count
+	 * Count the listed targets that are suspected unreachable.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the number of targets
 	 */
 	public long doubted(long now) {
-		return this.byRun.values().stream().filter((b) -> !b.isGone() && b.doubt().isDoubted(now)).count();
+		return this.byIncarnation.values()
+			.stream()
+			.filter((b) -> !b.isGone() && b.unreachableDetector().isUnreachable(now))
+			.count();
 	}
 
-	private long refusedByAll(TargetBelief belief) {
-		return belief.refused() + this.others.apply(belief.target().run()).map(WorkAtTarget::refused).orElse(0);
+	private long refusalsOfAllEntries(TargetBelief estimate) {
+		return estimate.refused() + this.others.apply(estimate.target().run()).map(WorkAtTarget::refused).orElse(0);
 	}
 
 	/**
-	 * Record a change of the own work at a target, unless the target was forgotten.
-	 * @param target the target
-	 * @param change what changes
+	 * Update this process's work at a target and notify the listener. Does nothing if no
+	 * state of the target is kept.
+	 * @param target the target to update
+	 * @param change the update
 	 */
 	public void change(ListedTarget target, Consumer<TargetBelief> change) {
-		TargetBelief belief = this.byRun.get(target.run());
-		if (belief == null) {
+		TargetBelief estimate = this.byIncarnation.get(target.run());
+		if (estimate == null) {
 			return;
 		}
-		int toMove = belief.toMove();
-		int inFlight = belief.inFlight();
-		boolean wasCopying = belief.isCopying();
-		change.accept(belief);
-		forgetIfUnused(belief);
-		boolean isAwaited = belief.toMove() != toMove || belief.isCopying() != wasCopying;
-		Change kind = (belief.inFlight() > inFlight) ? Change.BEGUN : Change.OTHER;
-		this.changed.changed(target, isAwaited ? Change.AWAITED : kind);
+		int toMove = estimate.toMove();
+		int inFlight = estimate.inFlight();
+		boolean wasCopying = estimate.isCopying();
+		change.accept(estimate);
+		removeIfUnused(estimate);
+		boolean isAwaitedByOthers = estimate.toMove() != toMove || estimate.isCopying() != wasCopying;
+		Change kind = (estimate.inFlight() > inFlight) ? Change.BEGUN : Change.OTHER;
+		this.changeListener.changed(target, isAwaitedByOthers ? Change.AWAITED : kind);
 	}
 
-	private void forgetIfUnused(TargetBelief belief) {
-		if (belief.isGone() && belief.inFlight() <= 0 && belief.toMove() <= 0 && belief.ownTokens() <= 0) {
-			this.byRun.remove(belief.target().run());
+	private void removeIfUnused(TargetBelief estimate) {
+		if (estimate.isGone() && estimate.inFlight() <= 0 && estimate.toMove() <= 0 && estimate.ownTokens() <= 0) {
+			this.byIncarnation.remove(estimate.target().run());
 		}
 	}
 
 	/**
-	 * Return the own work at all targets where there is any.
-	 * @return the work
+	 * Return this process's work at all targets, for gossip updates to other entries.
+	 * @return the work per incarnation, without targets that have nothing to report
 	 */
 	public List<WorkAtTarget> ownWork() {
-		return this.byRun.values()
+		return this.byIncarnation.values()
 			.stream()
-			.filter((b) -> b.inFlight() > 0 || b.ownTokens() > 0 || isToTell(b))
+			.filter((b) -> b.inFlight() > 0 || b.ownTokens() > 0 || hasSignalsToReport(b))
 			.map((b) -> new WorkAtTarget(b.target().run(), b.inFlight(), b.ownTokens(), b.ownUnread(), b.toMove(),
 					b.isCopying(), b.refused(), b.hasSaidLeaving()))
 			.toList();
 	}
 
-	private static boolean isToTell(TargetBelief belief) {
-		return !belief.isGone() && (belief.refused() > 0 || belief.hasSaidLeaving());
+	private static boolean hasSignalsToReport(TargetBelief estimate) {
+		return !estimate.isGone() && (estimate.refused() > 0 || estimate.hasSaidLeaving());
 	}
 
 	/**
-	 * Return how many requests are believed to be at a target, those of others included.
-	 * @param target the target
-	 * @param now the time in milliseconds
-	 * @return the count
+	 * Estimate how many requests of all processes are at a target.
+	 * @param target the target to look up
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the number of requests
 	 */
 	public double requests(ListedTarget target, long now) {
-		TargetBelief belief = of(target);
-		return belief.inFlight() + this.others.apply(target.run())
+		TargetBelief estimate = of(target);
+		return estimate.inFlight() + this.others.apply(target.run())
 			.map((w) -> (double) w.requests())
-			.orElseGet(() -> belief.othersTold(now));
+			.orElseGet(() -> estimate.othersTold(now));
 	}
 
 	/**
-	 * Return the engine memory that is believed to be in use or promised.
-	 * @param target the engine
-	 * @param tokensOfOthers what one request of another process holds where only their
-	 * number is known
-	 * @param now the time in milliseconds
-	 * @return tokens
+	 * Estimate the memory of an engine that is in use or reserved.
+	 * @param target the engine to look up
+	 * @param tokensOfOthers the tokens to assume per request of other processes where
+	 * only their number is known
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the number of tokens
 	 */
 	public double heldTokens(ListedTarget target, double tokensOfOthers, long now) {
-		TargetBelief belief = of(target);
-		return belief.ownTokens() + this.others.apply(target.run())
+		TargetBelief estimate = of(target);
+		return estimate.ownTokens() + this.others.apply(target.run())
 			.map((w) -> (double) w.heldTokens())
-			.orElseGet(() -> belief.othersTold(now) * tokensOfOthers);
+			.orElseGet(() -> estimate.othersTold(now) * tokensOfOthers);
 	}
 
 	/**
-	 * Return the tokens of prompts that an engine is believed to have yet to read.
-	 * @param target the engine
-	 * @return tokens
+	 * Estimate the prompt tokens that an engine has yet to read.
+	 * @param target the engine to look up
+	 * @return the number of tokens
 	 */
 	public long unreadTokens(ListedTarget target) {
 		return of(target).ownUnread() + this.others.apply(target.run()).map(WorkAtTarget::unreadTokens).orElse(0L);
 	}
 
 	/**
-	 * Return whether a generation is being copied from or to an engine, by this process
-	 * or others.
-	 * @param target the engine
-	 * @return whether its link is in use, as far as is known
+	 * Determine whether any entry is copying a generation from or to an engine.
+	 * @param target the engine to check
+	 * @return {@code true} if its link is in use
 	 */
 	public boolean isCopying(ListedTarget target) {
 		return of(target).isCopying() || this.others.apply(target.run()).map(WorkAtTarget::copying).orElse(false);
 	}
 
 	/**
-	 * Return the belief about a target, which is created when first asked for.
-	 * @param target the target
-	 * @return the belief
+	 * Return the state of a target, creating it on first use.
+	 * @param target the target to look up
+	 * @return the recorded state, never {@code null}
 	 */
 	public TargetBelief of(ListedTarget target) {
-		return this.byRun.computeIfAbsent(target.run(), (run) -> new TargetBelief(target));
+		return this.byIncarnation.computeIfAbsent(target.run(), (run) -> new TargetBelief(target));
 	}
 
 	/**
-	 * Forget a target that is gone, once nothing of this process is there any more.
-	 * @param target the target
+	 * Mark a target as removed, and drop its state once this process has no more work
+	 * there.
+	 * @param target the removed target
 	 */
 	public void forget(ListedTarget target) {
-		TargetBelief belief = this.byRun.get(target.run());
-		if (belief != null) {
-			belief.gone();
-			forgetIfUnused(belief);
+		TargetBelief estimate = this.byIncarnation.get(target.run());
+		if (estimate != null) {
+			estimate.gone();
+			removeIfUnused(estimate);
 		}
 	}
 
 	/**
-	 * Return the share of bad answers among the other targets of a target's service.
-	 * @param target the target that is left out
-	 * @param now the time in milliseconds
-	 * @return the mean share, from 0 to 1
+	 * Return the mean share of failed responses among the other targets of the same
+	 * service.
+	 * @param target the target to exclude
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the mean share, from 0 to 1; 0 without other targets
 	 */
 	public double peersBadShare(ListedTarget target, long now) {
-		return this.byRun.values()
+		return this.byIncarnation.values()
 			.stream()
 			.filter((b) -> b.target().service().equals(target.service()) && !b.target().id().equals(target.id()))
 			.mapToDouble((b) -> b.quality().badShare(now))
@@ -245,35 +256,31 @@
 			.orElse(0);
 	}
 
-	/**
-	 * What changes in the own work at a target.
-	 */
+	/** Kind of change in this process's work at a target. */
 	public enum Change {
 
-		/** A request was sent there. */
+		/** A request was sent to the target. */
 		BEGUN,
 
-		/** A move or a copy, whose links others wait for, or a connection refused. */
+		/** A move or copy whose links others wait for, or a refused connection. */
 		AWAITED,
 
-		/** The target said that it is leaving. */
+		/** The target announced its draining. */
 		LEAVING,
 
-		/** Anything else. */
+		/** Any other change. */
 		OTHER
 
 	}
 
-	/**
-	 * Hears of changes of the own work.
-	 */
+	/** Listener for changes of this process's work at targets. */
 	@FunctionalInterface
 	public interface ChangeListener {
 
 		/**
-		 * Hear of a change.
-		 * @param target the target at which the work changed
-		 * @param change what changed
+		 * Handle a change of the work at a target.
+		 * @param target the target whose work changed
+		 * @param change the kind of change
 		 */
 		void changed(ListedTarget target, Change change);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetLoad.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetLoad.java
@@ -1,11 +1,11 @@
 package dev.laneworks.core.dispatch;
 
 /**
- * What a target tells of its load beside an answer.
+ * Load that a target reports with a response.
  *
- * @param running the requests that run
- * @param waiting the requests that wait
- * @param slots the requests that it can run at once
+ * @param running the number of running requests
+ * @param waiting the number of queued requests
+ * @param slots the maximum number of concurrent requests
  * @since 0.2
  */
 public record TargetLoad(int running, int waiting, int slots) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetQuality.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetQuality.java
@@ -1,146 +1,145 @@
 package dev.laneworks.core.dispatch;
 
 /**
- * How well a target has answered of late, seen from traffic alone.
+ * Recent response quality of a target, derived from its traffic, for outlier ejection.
  * <p>
- * Good and bad answers fade with time, so that a few failures weigh much on a quiet
- * target and little on a busy one. A target that answers badly is set aside for a while
- * and then tried with a single request. Not thread-safe.
+ * The counts of good and failed responses decay exponentially, so that a few failures
+ * weigh more on an idle target than on a busy one. A target that performs worse than its
+ * peers is ejected for a while and then probed with a single request. Not thread-safe.
  *
  * @since 0.2
  */
 public final class TargetQuality {
 
-	/**
-	 * The time in which an answer's weight halves, in milliseconds; about as long as a
-	 * target's passing fault.
-	 */
+	/** Half-life of the weight of a response. */
 	private static final double HALF_LIFE_MILLIS = 4_000;
 
-	/** The bad answers, faded, below which a target is not judged. */
-	private static final double BAD_TO_JUDGE = 1.7;
+	/** Minimum decayed count of failed responses for an ejection. */
+	private static final double MIN_FAILURES = 1.7;
 
-	/** How much worse than its peers a target must be; shares of bad answers. */
-	private static final double WORSE_THAN_PEERS = 0.25;
+	/** Minimum excess over the peers' share of failed responses for an ejection. */
+	private static final double MIN_EXCESS_OVER_PEERS = 0.25;
 
-	private static final long FIRST_ASIDE_MILLIS = 1_500;
+	private static final long INITIAL_EJECTION_MILLIS = 1_500;
 
-	private static final long MAX_ASIDE_MILLIS = 6_000;
+	private static final long MAX_EJECTION_MILLIS = 6_000;
 
-	/** The time after a failed connection in which others are preferred. */
+	/** Time after a failed connection during which other targets are preferred. */
 	private static final long UNREACHABLE_MILLIS = 700;
 
-	/** The weight of the newest response time in the average. */
-	private static final double NEWEST_WEIGHT = 0.2;
+	/** Weight of the newest response time in the moving average. */
+	private static final double NEWEST_SAMPLE_WEIGHT = 0.2;
 
-	private double good;
+	private double successes;
 
-	private double bad;
+	private double failures;
 
-	private long fadedAt;
+	private long decayedAt;
 
-	private long asideMillis;
+	private long ejectionMillis;
 
-	private long asideUntil;
+	private long ejectedUntil;
 
-	private boolean trialUnderWay;
+	private boolean probeInProgress;
 
 	private double responseMillis;
 
 	/**
-	 * Record a good answer.
-	 * @param millis the time from sending to the answer, in milliseconds
-	 * @param now the time in milliseconds
+	 * Record a successful response.
+	 * @param millis the response time in milliseconds
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void recordGood(long millis, long now) {
-		fade(now);
-		this.good++;
-		// What was sent before the target was set aside says nothing of its return.
-		if (this.trialUnderWay) {
-			this.trialUnderWay = false;
-			this.asideMillis = 0;
+		decay(now);
+		this.successes++;
+		// Responses to requests sent before the ejection do not end it.
+		if (this.probeInProgress) {
+			this.probeInProgress = false;
+			this.ejectionMillis = 0;
 		}
 		this.responseMillis = (this.responseMillis > 0)
-				? this.responseMillis + NEWEST_WEIGHT * (millis - this.responseMillis) : millis;
+				? this.responseMillis + NEWEST_SAMPLE_WEIGHT * (millis - this.responseMillis) : millis;
 	}
 
 	/**
-	 * Record a bad answer or none.
-	 * @param peersBadShare the share of bad answers among the target's peers, from 0 to 1
-	 * @param now the time in milliseconds
-	 * @return whether the target is newly set aside
+	 * Record a failed or missing response.
+	 * @param peersBadShare the share of failed responses among the target's peers, from 0
+	 * to 1
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return {@code true} if the target is newly ejected
 	 */
 	public boolean recordBad(double peersBadShare, long now) {
-		fade(now);
-		this.bad++;
-		boolean failedTrial = this.trialUnderWay;
-		this.trialUnderWay = false;
-		boolean isWorse = this.bad >= BAD_TO_JUDGE && badShare(now) >= peersBadShare + WORSE_THAN_PEERS;
-		if (failedTrial || (isWorse && now >= this.asideUntil)) {
-			this.asideMillis = (this.asideMillis != 0) ? Math.min(MAX_ASIDE_MILLIS, this.asideMillis * 2)
-					: FIRST_ASIDE_MILLIS;
-			this.asideUntil = now + this.asideMillis;
+		decay(now);
+		this.failures++;
+		boolean failedProbe = this.probeInProgress;
+		this.probeInProgress = false;
+		boolean isWorse = this.failures >= MIN_FAILURES && badShare(now) >= peersBadShare + MIN_EXCESS_OVER_PEERS;
+		if (failedProbe || (isWorse && now >= this.ejectedUntil)) {
+			this.ejectionMillis = (this.ejectionMillis != 0) ? Math.min(MAX_EJECTION_MILLIS, this.ejectionMillis * 2)
+					: INITIAL_EJECTION_MILLIS;
+			this.ejectedUntil = now + this.ejectionMillis;
 			return true;
 		}
 		return false;
 	}
 
 	/**
-	 * Record that no connection could be made.
-	 * @param now the time in milliseconds
+	 * Record that a connection could not be established.
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void recordUnreachable(long now) {
-		fade(now);
-		this.bad++;
-		this.trialUnderWay = false;
-		this.asideMillis = Math.max(this.asideMillis, UNREACHABLE_MILLIS);
-		this.asideUntil = Math.max(this.asideUntil, now + UNREACHABLE_MILLIS);
+		decay(now);
+		this.failures++;
+		this.probeInProgress = false;
+		this.ejectionMillis = Math.max(this.ejectionMillis, UNREACHABLE_MILLIS);
+		this.ejectedUntil = Math.max(this.ejectedUntil, now + UNREACHABLE_MILLIS);
 	}
 
 	/**
-	 * Record that a request was sent.
-	 * @param now the time in milliseconds
+	 * Record that a request was sent. The first one after an ejection period is the
+	 * probe.
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void recordSent(long now) {
-		if (this.asideMillis != 0 && now >= this.asideUntil) {
-			this.trialUnderWay = true;
+		if (this.ejectionMillis != 0 && now >= this.ejectedUntil) {
+			this.probeInProgress = true;
 		}
 	}
 
 	/**
-	 * Return whether the target may be sent a request.
-	 * @param now the time in milliseconds
-	 * @return {@code false} while it is set aside or on trial
+	 * Determine whether the target may be sent a request.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return {@code false} while the target is ejected or its probe is in progress
 	 */
 	public boolean isUsable(long now) {
-		return this.asideMillis == 0 || (now >= this.asideUntil && !this.trialUnderWay);
+		return this.ejectionMillis == 0 || (now >= this.ejectedUntil && !this.probeInProgress);
 	}
 
 	/**
-	 * Return the share of bad answers of late.
-	 * @param now the time in milliseconds
-	 * @return from 0 to 1; 0 if there were none
+	 * Return the recent share of failed responses.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return the share, from 0 to 1; 0 without responses
 	 */
 	public double badShare(long now) {
-		fade(now);
-		double all = this.good + this.bad;
-		return (all > 0) ? this.bad / all : 0;
+		decay(now);
+		double all = this.successes + this.failures;
+		return (all > 0) ? this.failures / all : 0;
 	}
 
 	/**
-	 * Return the average response time of late.
-	 * @return milliseconds; 0 if there was no answer
+	 * Return the moving average of the response time.
+	 * @return the time in milliseconds; 0 without responses
 	 */
 	public double responseMillis() {
 		return this.responseMillis;
 	}
 
-	private void fade(long now) {
-		long elapsed = Math.max(0, now - this.fadedAt);
-		this.fadedAt = now;
+	private void decay(long now) {
+		long elapsed = Math.max(0, now - this.decayedAt);
+		this.decayedAt = now;
 		double factor = Math.pow(2, -elapsed / HALF_LIFE_MILLIS);
-		this.good *= factor;
-		this.bad *= factor;
+		this.successes *= factor;
+		this.failures *= factor;
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EngineAdmissionTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EngineAdmissionTests.java
@@ -13,7 +13,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link EngineAdmission}, and of a {@link Dispatcher} whose engines are full.
+ * Tests for {@link EngineAdmission}, alone and in a {@link Dispatcher} whose engines are
+ * full.
  */
 class EngineAdmissionTests {
 
@@ -22,51 +23,51 @@
 	private final EngineAdmission admission = new EngineAdmission();
 
 	@Test
-	void whatFitsOrWaitsForLessThanItsGoalIsSent() {
+	void admitsGenerationThatWaitsLessThanItsGoal() {
 		assertThat(this.admission.waitMillis(0.2, 0, 1_800, 39_000)).isEqualTo(OptionalLong.empty());
 		assertThat(this.admission.waitMillis(1.19, 0, 1_800, 39_000)).isEqualTo(OptionalLong.empty());
 	}
 
 	@Test
-	void whatWouldWaitForLongerIsRefusedUntilThereIsRoom() {
+	void rejectsGenerationThatWouldWaitLonger() {
 		assertThat(this.admission.waitMillis(1.3, 0, 1_800, 39_000)).isEqualTo(OptionalLong.of(2_700));
 		assertThat(this.admission.waitMillis(1.3, 0, 3_000, 3_000)).isEqualTo(OptionalLong.of(2_700));
 	}
 
 	@Test
-	void aLowerRankIsRefusedBeforeTheHighest() {
+	void lowerPriorityIsRejectedFirst() {
 		assertThat(this.admission.waitMillis(1.15, 0, 1_800, 39_000)).isEqualTo(OptionalLong.empty());
 		assertThat(this.admission.waitMillis(1.15, 1, 1_800, 39_000)).isEqualTo(OptionalLong.of(1_350));
 	}
 
 	@Test
-	void theWaitFollowsHowLongGenerationsTake() {
+	void waitFollowsMeanLifetime() {
 		for (int i = 0; i < 200; i++) {
-			this.admission.took(LONG, 2_000);
+			this.admission.recordLifetime(LONG, 2_000);
 		}
 		assertThat(this.admission.waitMillis(1.8, 0, 1_800, 39_000)).isEqualTo(OptionalLong.empty());
 		for (int i = 0; i < 200; i++) {
-			this.admission.took(LONG, 20_000);
+			this.admission.recordLifetime(LONG, 20_000);
 		}
 		assertThat(this.admission.waitMillis(1.3, 0, 1_800, 39_000).getAsLong()).isAtLeast(5_900);
 	}
 
 	@Test
-	void theRoomOfAGenerationIsSetFreeInThePartOfALifeThatItsMemoryIsOfAll() {
-		assertThat(this.admission.freedInMillis(LONG, 32_500)).isWithin(0.001).of(900);
+	void memoryReleaseTimeIsProportionalToMemory() {
+		assertThat(this.admission.memoryReleaseMillis(LONG, 32_500)).isWithin(0.001).of(900);
 	}
 
 	@Test
-	void theRoomOfAShortGenerationIsFreeSooner() {
+	void memoryOfShortGenerationIsReleasedSooner() {
 		EngineWork shortWork = new EngineWork("m", 3_210, 40, OptionalLong.empty(), List.of());
 		for (int i = 0; i < 200; i++) {
-			this.admission.took(shortWork, 1_000);
+			this.admission.recordLifetime(shortWork, 1_000);
 		}
-		assertThat(this.admission.freedInMillis(shortWork, 32_500)).isWithin(1).of(100);
+		assertThat(this.admission.memoryReleaseMillis(shortWork, 32_500)).isWithin(1).of(100);
 	}
 
 	@Test
-	void callersThatAreRefusedTogetherAreToldDifferentTimes() {
+	void callersRejectedTogetherReceiveDifferentRetryTimes() {
 		DispatchHarness harness = DispatchHarness.create();
 		harness.join(DispatchHarness.ENGINES, "a");
 		harness.others.put("a", new WorkAtTarget(TargetRun.of("a"), 20, 60_000, 0, 0, false, 0, false));
@@ -77,7 +78,7 @@
 	}
 
 	@Test
-	void aGenerationIsRefusedAtOnceWhereAllEnginesArePromisedFarBeyondTheirMemory() {
+	void generationIsRefusedAtOnceWhenAllEnginesAreOvercommitted() {
 		DispatchHarness harness = DispatchHarness.create();
 		harness.join(DispatchHarness.ENGINES, "a");
 		harness.others.put("a", new WorkAtTarget(TargetRun.of("a"), 20, 60_000, 0, 0, false, 0, false));
@@ -93,7 +94,7 @@
 	}
 
 	@Test
-	void aGenerationGoesWhereThereIsRoomThoughAnotherEngineWouldReadItSooner() {
+	void generationPrefersFreeMemoryToShorterPromptQueue() {
 		DispatchHarness harness = DispatchHarness.create();
 		harness.join(DispatchHarness.ENGINES, "full");
 		harness.join(DispatchHarness.ENGINES, "reading");
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
@@ -17,10 +17,11 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Lets targets say at random what they need, and holds a dispatcher to it.
+ * Generates random back-pressure signals of targets and asserts that a dispatcher obeys
+ * them.
  * <p>
- * A target keeps to the limit that it once named; generations that go on at a copy are
- * not bound by a limit, but are counted.
+ * The rate limit of a target does not change once set. Resumed generations are exempt
+ * from the rate limit, but at most one is sent to a target within a backoff period.
  */
 final class NeedsOracle {
 
@@ -30,66 +31,67 @@
 
 	private final String name;
 
-	private final SplittableRandom chance;
+	private final SplittableRandom random;
 
-	private final Set<TargetRun> leaving = new HashSet<>();
+	private final Set<TargetRun> draining = new HashSet<>();
 
-	private final Map<TargetRun, Long> restUntil = new HashMap<>();
+	private final Map<TargetRun, Long> backoffUntil = new HashMap<>();
 
-	private final Map<TargetRun, Integer> returns = new HashMap<>();
+	private final Map<TargetRun, Integer> sentWithinBackoff = new HashMap<>();
 
 	private final Map<TargetRun, Double> limits = new HashMap<>();
 
-	private final Map<TargetRun, Deque<Long>> orders = new HashMap<>();
+	private final Map<TargetRun, Deque<Long>> sentAt = new HashMap<>();
 
-	NeedsOracle(String name, SplittableRandom chance) {
+	NeedsOracle(String name, SplittableRandom random) {
 		this.name = name;
-		this.chance = chance;
+		this.random = random;
 	}
 
 	/**
-	 * Return what a target says in an answer.
-	 * @param target the run of the target
-	 * @param isTurnedAway whether it turns the request away
-	 * @param now the time in milliseconds
-	 * @return what it needs; what it said before of its limit and its leaving holds on
+	 * Return the back-pressure signals of a response.
+	 * @param target the incarnation of the target
+	 * @param isRejected whether the target rejects the request
+	 * @param now the current time in milliseconds of virtual time
+	 * @return the signals; the rate limit and draining persist from earlier responses
 	 */
-	TargetNeeds say(TargetRun target, boolean isTurnedAway, long now) {
-		if (this.chance.nextInt(4) == 0) {
-			this.limits.putIfAbsent(target, LIMITS[this.chance.nextInt(LIMITS.length)]);
+	TargetNeeds say(TargetRun target, boolean isRejected, long now) {
+		if (this.random.nextInt(4) == 0) {
+			this.limits.putIfAbsent(target, LIMITS[this.random.nextInt(LIMITS.length)]);
 		}
-		if (this.chance.nextInt(12) == 0) {
-			this.leaving.add(target);
+		if (this.random.nextInt(12) == 0) {
+			this.draining.add(target);
 		}
-		OptionalLong rest = OptionalLong.empty();
-		if (isTurnedAway && this.chance.nextBoolean()) {
-			rest = OptionalLong.of(this.chance.nextLong(3_000));
-			if (this.restUntil.getOrDefault(target, 0L) <= now) {
-				this.returns.remove(target);
+		OptionalLong backoff = OptionalLong.empty();
+		if (isRejected && this.random.nextBoolean()) {
+			backoff = OptionalLong.of(this.random.nextLong(3_000));
+			if (this.backoffUntil.getOrDefault(target, 0L) <= now) {
+				this.sentWithinBackoff.remove(target);
 			}
-			this.restUntil.merge(target, now + rest.getAsLong(), Math::max);
+			this.backoffUntil.merge(target, now + backoff.getAsLong(), Math::max);
 		}
 		OptionalDouble limit = this.limits.containsKey(target) ? OptionalDouble.of(this.limits.get(target))
 				: OptionalDouble.empty();
-		return new TargetNeeds(limit, rest, this.leaving.contains(target));
+		return new TargetNeeds(limit, backoff, this.draining.contains(target));
 	}
 
 	/**
-	 * Take that a request was ordered to be sent.
-	 * @param sent the attempt
-	 * @param now the time in milliseconds
+	 * Check an attempt that was ordered to be sent.
+	 * @param sent the attempt to check
+	 * @param now the current time in milliseconds of virtual time
 	 */
 	void ordered(Sent sent, long now) {
 		TargetRun target = sent.target().run();
 		boolean isNew = sent.order().resume().isEmpty();
 		if (isNew) {
-			assertWithMessage("%s: new work at %s, which leaves", this.name, target).that(this.leaving)
+			assertWithMessage("%s: new work at %s, which is draining", this.name, target).that(this.draining)
 				.doesNotContain(target);
 			checkLimit(target, now);
 		}
-		if (now < this.restUntil.getOrDefault(target, 0L)) {
-			int there = this.returns.merge(target, isNew ? 2 : 1, Integer::sum);
-			assertWithMessage("%s: sent to %s within its rest", this.name, target).that(there).isAtMost(1);
+		if (now < this.backoffUntil.getOrDefault(target, 0L)) {
+			int sentThere = this.sentWithinBackoff.merge(target, isNew ? 2 : 1, Integer::sum);
+			assertWithMessage("%s: sent to %s within its backoff period", this.name, target).that(sentThere)
+				.isAtMost(1);
 		}
 	}
 
@@ -97,28 +99,28 @@
 		if (!this.limits.containsKey(target)) {
 			return;
 		}
-		Deque<Long> window = this.orders.computeIfAbsent(target, (run) -> new ArrayDeque<>());
+		Deque<Long> window = this.sentAt.computeIfAbsent(target, (run) -> new ArrayDeque<>());
 		window.add(now);
 		while (window.peekFirst() <= now - WINDOW_MILLIS) {
 			window.removeFirst();
 		}
 		double allowed = 1.5 * this.limits.get(target) * WINDOW_MILLIS / 1_000 + 5;
-		assertWithMessage("%s: at %s within four seconds", this.name, target).that((double) window.size())
+		assertWithMessage("%s: requests sent to %s within four seconds", this.name, target).that((double) window.size())
 			.isAtMost(allowed);
 	}
 
 	/**
-	 * Take that a request is about to go out.
-	 * @param sent the attempt
-	 * @param now the time in milliseconds
+	 * Check an attempt whose request is about to be written.
+	 * @param sent the attempt to check
+	 * @param now the current time in milliseconds of virtual time
 	 */
 	void goesOut(Sent sent, long now) {
 		TargetRun target = sent.target().run();
 		if (sent.order().resume().isEmpty()) {
-			assertWithMessage("%s: goes out to %s, which leaves", this.name, target).that(this.leaving)
+			assertWithMessage("%s: written to %s, which is draining", this.name, target).that(this.draining)
 				.doesNotContain(target);
-			assertWithMessage("%s: goes out to %s within its rest", this.name, target).that(now)
-				.isAtLeast(this.restUntil.getOrDefault(target, 0L));
+			assertWithMessage("%s: written to %s within its backoff period", this.name, target).that(now)
+				.isAtLeast(this.backoffUntil.getOrDefault(target, 0L));
 		}
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
@@ -26,30 +26,30 @@
 import dev.laneworks.core.verdict.RefusalReason;
 
 /**
- * Several entries and engines in virtual time, of which engines end by chance, all at
- * once, or under harmful requests that come again at any entry.
+ * Simulation in virtual time of several entries and engines, in which engines crash at
+ * random, all at once, or from harmful requests that are retried at any entry.
  * <p>
- * Engines read a prompt in 250 to 400 ms and then send an event each 40 ms; a harmful
- * request ends its engine 70 ms after it began. The list drops an ended engine three
- * seconds later, and another takes its place a second after that. Entries hear of each
- * other's suspicions 3 ms late and miss one datagram in thirty.
+ * Engines read a prompt in 250 to 400 ms and then send an event every 40 ms. A harmful
+ * request crashes its engine 70 ms after it started. A crashed engine stays listed for
+ * three seconds and is replaced a second later. Entries receive each other's suspicions 3
+ * ms late and lose one datagram in thirty.
  */
 final class PoisonedFleet {
 
-	private static final long LISTED_MILLIS = 3_000;
+	private static final long CRASHED_LISTED_MILLIS = 3_000;
 
-	private static final long REPLACED_MILLIS = 4_000;
+	private static final long REPLACEMENT_MILLIS = 4_000;
 
-	private static final long HARM_MILLIS = 70;
+	private static final long CRASH_DELAY_MILLIS = 70;
 
-	private static final long EVENT_MILLIS = 40;
+	private static final long EVENT_INTERVAL_MILLIS = 40;
 
-	private static final long WAY_MILLIS = 3;
+	private static final long ONE_WAY_MILLIS = 3;
 
-	/** Until an end is found and told: the ways of connections and datagrams, twice. */
-	private static final long AT_ONCE_MILLIS = 3 * WAY_MILLIS + 50;
+	/** Maximum time until a crash is detected and announced to all entries. */
+	private static final long DETECTION_MILLIS = 3 * ONE_WAY_MILLIS + 50;
 
-	private static final double LOST_NEWS = 0.033;
+	private static final double DATAGRAM_LOSS = 0.033;
 
 	private final SplittableRandom random;
 
@@ -63,11 +63,11 @@
 
 	private final Map<Long, Request> open = new HashMap<>();
 
-	private final Map<RequestDigest, Integer> endedUnder = new HashMap<>();
+	private final Map<RequestDigest, Integer> crashes = new HashMap<>();
 
-	private final Map<RequestDigest, Long> thirdAt = new HashMap<>();
+	private final Map<RequestDigest, Long> thirdCrashAt = new HashMap<>();
 
-	private final Set<Long> sound = new HashSet<>();
+	private final Set<Long> harmless = new HashSet<>();
 
 	private long calls;
 
@@ -75,17 +75,19 @@
 
 	private long now;
 
-	// What is reported.
-	int endedByHarm;
+	// Results.
+	int crashedByHarmful;
 
-	/** Sendings of harmful requests after the third end, at once and later. */
-	int sentAtOnce;
+	/**
+	 * Attempts of harmful requests after the third crash, during its detection and later.
+	 */
+	int sentDuringDetection;
 
-	int sentLater;
+	int sentAfterDetection;
 
-	int soundRefused;
+	int harmlessRefused;
 
-	long newsBytes;
+	long gossipBytes;
 
 	PoisonedFleet(int entries, int engines, PoisonSettings settings, long seed) {
 		this.random = new SplittableRandom(seed);
@@ -97,8 +99,8 @@
 			this.handled.put(entry, 0);
 		}
 		for (DispatchHarness entry : this.entries) {
-			SuspectGossip gossip = new SuspectGossip(entry.suspects, () -> addresses(entry), this::tell, this.timers,
-					this.random);
+			SuspectGossip gossip = new SuspectGossip(entry.suspects, () -> addresses(entry), this::sendReports,
+					this.timers, this.random);
 			entry.onSuspicion = (d) -> {
 				if (!entry.hearing) {
 					gossip.saw(d, this.now);
@@ -112,55 +114,55 @@
 	}
 
 	/**
-	 * Play a fleet of four entries and 28 engines under twenty generations a second, with
-	 * three callers that ask the same all the time.
-	 * @param settings by what requests are suspected
-	 * @param seed where chance begins
-	 * @param millis for how long it is played, in milliseconds
-	 * @param trouble what befalls it
-	 * @return the fleet, with what is reported of it
+	 * Run a fleet of four entries and 28 engines under twenty generations a second, with
+	 * three callers that repeat the same request.
+	 * @param settings the thresholds of the quarantine
+	 * @param seed the random seed
+	 * @param millis the duration in milliseconds of virtual time
+	 * @param faults the faults to inject
+	 * @return the fleet after the run, with its results
 	 */
-	static PoisonedFleet play(PoisonSettings settings, long seed, long millis, Consumer<PoisonedFleet> trouble) {
+	static PoisonedFleet play(PoisonSettings settings, long seed, long millis, Consumer<PoisonedFleet> faults) {
 		PoisonedFleet fleet = new PoisonedFleet(4, 28, settings, seed);
-		fleet.serve(20);
-		fleet.poll(3, 300);
-		trouble.accept(fleet);
+		fleet.openHarmless(20);
+		fleet.repeatIdentical(3, 300);
+		faults.accept(fleet);
 		fleet.run(millis);
 		return fleet;
 	}
 
-	// Engines end by chance, at this distance on average.
-	void endEach(long millis) {
+	// Crashes engines at random, at this mean interval.
+	void crashEvery(long millis) {
 		every(millis, () -> {
 			List<Engine> all = List.copyOf(this.engines.values());
 			if (!all.isEmpty()) {
-				end(all.get(this.random.nextInt(all.size())));
+				crash(all.get(this.random.nextInt(all.size())));
 			}
 		});
 	}
 
-	// A third of the engines ends at once.
-	void endThirdAt(long at) {
+	// Crashes a third of the engines at once.
+	void crashThirdAt(long at) {
 		this.timers.at(at,
-				(t) -> List.copyOf(this.engines.values()).subList(0, this.engines.size() / 3).forEach(this::end));
+				(t) -> List.copyOf(this.engines.values()).subList(0, this.engines.size() / 3).forEach(this::crash));
 	}
 
-	// Sound generations come, of a thousand tokens in one of three and short otherwise.
-	void serve(double aSecond) {
-		every(Math.round(1_000 / aSecond),
+	// Opens harmless generations, of which a third are long.
+	void openHarmless(double perSecond) {
+		every(Math.round(1_000 / perSecond),
 				() -> open(new Request(digest(this.calls + 1, 0), (this.random.nextInt(3) == 0) ? 200 : 4, false)));
 	}
 
-	// Callers ask the same again and again, as clients do that poll.
-	void poll(int callers, long eachMillis) {
+	// Repeats identical requests, as polling clients do.
+	void repeatIdentical(int callers, long eachMillis) {
 		for (int i = 0; i < callers; i++) {
 			RequestDigest digest = digest(i, 1);
 			every(eachMillis, () -> open(new Request(digest, 4, false)));
 		}
 	}
 
-	// Harmful requests come each second, and at once when one has failed.
-	void harm(int different) {
+	// Opens harmful requests every second, and again as soon as one failed.
+	void sendHarmful(int different) {
 		for (int i = 0; i < different; i++) {
 			RequestDigest digest = digest(i, 2);
 			every(1_000, () -> open(new Request(digest, 4, true)));
@@ -172,17 +174,17 @@
 			this.timers.run(this.now);
 			for (DispatchHarness entry : this.entries) {
 				entry.passTime(this.now - entry.now);
-				carryOut(entry);
+				processOutputs(entry);
 			}
 			List.copyOf(this.engines.values()).forEach(Engine::step);
 		}
 	}
 
-	int soundRequests() {
-		return this.sound.size();
+	int harmlessRequests() {
+		return this.harmless.size();
 	}
 
-	int suspectsKept() {
+	int maxSuspects() {
 		return this.entries.stream()
 			.mapToInt((e) -> e.suspects.reports(Long.MAX_VALUE, 10_000, this.now).size())
 			.max()
@@ -205,7 +207,7 @@
 		long number = ++this.calls;
 		DispatchHarness entry = this.entries.get(this.random.nextInt(this.entries.size()));
 		if (!request.harmful) {
-			this.sound.add(number);
+			this.harmless.add(number);
 		}
 		this.open.put(number, request);
 		RouteSpec route = new RouteSpec("r", "h", "/", RequestKind.STREAMING, 39_000, 1_800, 180, 1, 1, false,
@@ -215,13 +217,13 @@
 		entry.passTime(this.now - entry.now);
 		entry.dispatcher.open(number, new DirectRequest(DispatchHarness.id(number), route, DispatchHarness.ENGINES,
 				"acme", 39_000, AllowedRegions.any(), request.digest, Optional.of(work)), this.now);
-		carryOut(entry);
-		ended(entry, number);
+		processOutputs(entry);
+		handleEnd(entry, number);
 	}
 
-	// Takes a call's end: a sound one that was kept from engines is a mistake, a harmful
-	// one comes again at once.
-	private void ended(DispatchHarness entry, long number) {
+	// Handles the end of a call: counts a harmless one that was quarantined, and repeats
+	// a harmful one.
+	private void handleEnd(DispatchHarness entry, long number) {
 		Request request = this.open.get(number);
 		if (request == null || entry.answers(number).stream().noneMatch((a) -> !a.equals("started"))) {
 			return;
@@ -231,15 +233,15 @@
 			.filter((r) -> r.reason() == RefusalReason.QUARANTINED)
 			.isPresent();
 		if (!request.harmful && isQuarantined) {
-			this.soundRefused++;
+			this.harmlessRefused++;
 		}
-		boolean wasRun = entry.answers(number).contains("refused 502") || entry.answers(number).contains("cut");
-		if (request.harmful && wasRun) {
+		boolean wasExecuted = entry.answers(number).contains("refused 502") || entry.answers(number).contains("cut");
+		if (request.harmful && wasExecuted) {
 			this.timers.at(this.now + 1, (t) -> open(request));
 		}
 	}
 
-	private void carryOut(DispatchHarness entry) {
+	private void processOutputs(DispatchHarness entry) {
 		for (int i = this.handled.get(entry); i < entry.sent.size(); i++) {
 			this.handled.put(entry, i + 1);
 			DispatchHarness.Sent sent = entry.sent.get(i);
@@ -254,11 +256,11 @@
 			}
 		}
 		for (ListedTarget checked : List.copyOf(entry.checked)) {
-			this.timers.at(this.now + WAY_MILLIS,
+			this.timers.at(this.now + ONE_WAY_MILLIS,
 					(t) -> entry.dispatcher.checked(checked, !this.engines.containsKey(checked.id()), t));
 		}
 		entry.checked.clear();
-		List.copyOf(entry.refusals.keySet()).forEach((n) -> ended(entry, n));
+		List.copyOf(entry.refusals.keySet()).forEach((n) -> handleEnd(entry, n));
 	}
 
 	private long readMillis(DispatchHarness.Sent sent) {
@@ -266,10 +268,10 @@
 	}
 
 	private void countSending(Request request) {
-		if (request != null && request.harmful && this.thirdAt.containsKey(request.digest)) {
-			boolean isAtOnce = this.now - this.thirdAt.get(request.digest) <= AT_ONCE_MILLIS;
-			this.sentAtOnce += isAtOnce ? 1 : 0;
-			this.sentLater += isAtOnce ? 0 : 1;
+		if (request != null && request.harmful && this.thirdCrashAt.containsKey(request.digest)) {
+			boolean isDuringDetection = this.now - this.thirdCrashAt.get(request.digest) <= DETECTION_MILLIS;
+			this.sentDuringDetection += isDuringDetection ? 1 : 0;
+			this.sentAfterDetection += isDuringDetection ? 0 : 1;
 		}
 	}
 
@@ -281,20 +283,20 @@
 		this.entries.forEach((e) -> e.directory.put(target));
 	}
 
-	private void end(Engine engine) {
+	private void crash(Engine engine) {
 		if (this.engines.remove(engine.target.id()) == null) {
 			return;
 		}
 		for (Run run : List.copyOf(engine.runs)) {
 			if (run.isOpen()) {
 				run.entry.breakOff(run.sent);
-				carryOut(run.entry);
-				ended(run.entry, run.sent.call());
+				processOutputs(run.entry);
+				handleEnd(run.entry, run.sent.call());
 			}
 		}
-		this.timers.at(this.now + LISTED_MILLIS,
+		this.timers.at(this.now + CRASHED_LISTED_MILLIS,
 				(t) -> this.entries.forEach((e) -> e.directory.remove(engine.target.id(), t)));
-		this.timers.at(this.now + REPLACED_MILLIS, (t) -> add());
+		this.timers.at(this.now + REPLACEMENT_MILLIS, (t) -> add());
 	}
 
 	private List<String> addresses(DispatchHarness but) {
@@ -307,12 +309,12 @@
 		return others;
 	}
 
-	private void tell(Iterable<String> addresses, List<SuspectReport> reports) {
+	private void sendReports(Iterable<String> addresses, List<SuspectReport> reports) {
 		for (String address : addresses) {
-			this.newsBytes += reports.stream().mapToLong((r) -> 30 + 35L * r.ends().size()).sum();
-			if (this.random.nextDouble() >= LOST_NEWS) {
+			this.gossipBytes += reports.stream().mapToLong((r) -> 30 + 35L * r.ends().size()).sum();
+			if (this.random.nextDouble() >= DATAGRAM_LOSS) {
 				DispatchHarness entry = this.entries.get(Integer.parseInt(address));
-				this.timers.at(this.now + WAY_MILLIS, (t) -> {
+				this.timers.at(this.now + ONE_WAY_MILLIS, (t) -> {
 					entry.hearing = true;
 					reports.forEach((r) -> entry.suspects.heard(r, t));
 					entry.hearing = false;
@@ -356,7 +358,7 @@
 			this.sent = sent;
 			this.request = request;
 			this.beginsAt = PoisonedFleet.this.now + readMillis;
-			this.nextEventAt = this.beginsAt + EVENT_MILLIS;
+			this.nextEventAt = this.beginsAt + EVENT_INTERVAL_MILLIS;
 			this.next = sent.order()
 				.resume()
 				.map((r) -> r.lastEvent().isEmpty() ? 0 : Integer.parseInt(r.lastEvent()) + 1)
@@ -383,8 +385,8 @@
 		private void step() {
 			this.runs.removeIf((r) -> !r.isOpen());
 			for (Run run : List.copyOf(this.runs)) {
-				if (run.request.harmful && PoisonedFleet.this.now >= run.beginsAt + HARM_MILLIS) {
-					harmedBy(run);
+				if (run.request.harmful && PoisonedFleet.this.now >= run.beginsAt + CRASH_DELAY_MILLIS) {
+					crashEngineBy(run);
 					return;
 				}
 				if (!run.request.harmful && PoisonedFleet.this.now >= run.nextEventAt) {
@@ -393,21 +395,21 @@
 			}
 		}
 
-		private void harmedBy(Run run) {
-			PoisonedFleet.this.endedByHarm++;
-			if (PoisonedFleet.this.endedUnder.merge(run.request.digest, 1, Integer::sum) == 3) {
-				PoisonedFleet.this.thirdAt.put(run.request.digest, PoisonedFleet.this.now);
+		private void crashEngineBy(Run run) {
+			PoisonedFleet.this.crashedByHarmful++;
+			if (PoisonedFleet.this.crashes.merge(run.request.digest, 1, Integer::sum) == 3) {
+				PoisonedFleet.this.thirdCrashAt.put(run.request.digest, PoisonedFleet.this.now);
 			}
-			end(this);
+			crash(this);
 		}
 
 		private void generate(Run run) {
 			run.entry.event(run.sent, run.next);
 			run.next++;
-			run.nextEventAt += EVENT_MILLIS;
+			run.nextEventAt += EVENT_INTERVAL_MILLIS;
 			if (run.next >= run.request.events) {
 				run.entry.dispatcher.streamEnded(run.sent.call(), run.sent.attempt(), PoisonedFleet.this.now);
-				ended(run.entry, run.sent.call());
+				handleEnd(run.entry, run.sent.call());
 				this.runs.remove(run);
 			}
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleetTests.java
@@ -8,8 +8,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests what a quarantine costs sound requests and spares engines, over four entries and
- * 28 engines in virtual time.
+ * Tests that quarantine limits the engines crashed by a harmful request and refuses no
+ * harmless request, on four entries and 28 engines in virtual time.
  */
 class PoisonedFleetTests {
 
@@ -17,27 +17,28 @@
 
 	private static final int SEEDS = 2;
 
-	// Before there was a quarantine one such request ended an engine each 0.4 s.
+	// Guards against a retried request that crashes engines without limit.
 	@Test
-	void oneHarmfulRequestEndsThreeEnginesAndNoMore() {
+	void oneHarmfulRequestCrashesThreeEnginesAndNoMore() {
 		for (int seed = 1; seed <= SEEDS; seed++) {
-			PoisonedFleet fleet = play(PoisonSettings.defaults(), seed, (f) -> f.harm(1));
-			assertThat(fleet.sentLater).isEqualTo(0);
-			assertThat(fleet.endedByHarm).isAtMost(3 + fleet.sentAtOnce);
-			assertThat(fleet.soundRefused).isEqualTo(0);
+			PoisonedFleet fleet = play(PoisonSettings.defaults(), seed, (f) -> f.sendHarmful(1));
+			assertThat(fleet.sentAfterDetection).isEqualTo(0);
+			assertThat(fleet.crashedByHarmful).isAtMost(3 + fleet.sentDuringDetection);
+			assertThat(fleet.harmlessRefused).isEqualTo(0);
 		}
 	}
 
 	@Test
-	void enginesThatEndOfThemselvesCostNoSoundRequest() {
+	void unrelatedCrashesRefuseNoHarmlessRequest() {
 		for (int seed = 1; seed <= SEEDS; seed++) {
-			assertThat(play(PoisonSettings.defaults(), seed, (f) -> f.endEach(500)).soundRefused).isEqualTo(0);
-			assertThat(play(PoisonSettings.defaults(), seed, (f) -> f.endThirdAt(15_000)).soundRefused).isEqualTo(0);
+			assertThat(play(PoisonSettings.defaults(), seed, (f) -> f.crashEvery(500)).harmlessRefused).isEqualTo(0);
+			assertThat(play(PoisonSettings.defaults(), seed, (f) -> f.crashThirdAt(15_000)).harmlessRefused)
+				.isEqualTo(0);
 		}
 	}
 
-	private static PoisonedFleet play(PoisonSettings settings, long seed, Consumer<PoisonedFleet> trouble) {
-		return PoisonedFleet.play(settings, seed, MILLIS, trouble);
+	private static PoisonedFleet play(PoisonSettings settings, long seed, Consumer<PoisonedFleet> faults) {
+		return PoisonedFleet.play(settings, seed, MILLIS, faults);
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedRequestTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedRequestTests.java
@@ -15,40 +15,32 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests that a request under which targets end is kept from others.
- * <p>
- * What users saw: engines of a small fleet ended one after the other, eight within 15 s,
- * and each time all streams that ran there were cut. The order of events: a short
- * generation is sent to an engine and the engine ends some 70 ms after it began it; the
- * caller gets 502, and the same account asks the same again, under another id and mostly
- * at another entry; that entry takes it for a new request, finds the former engine gone
- * and chooses a sound one. The cause: what a request did to a target was forgotten with
- * its call. The evidence: eight accepted requests of one account with the same route and
- * counts of tokens, each sent once, each to another engine, whose connections all broke
- * and whose entry lapsed three seconds later.
+ * Tests that a request which crashes targets is quarantined. Guards against a caller that
+ * retries such a request at other entries, which crashes one engine after another and
+ * cuts all streams that they run.
  */
 class PoisonedRequestTests {
 
 	private static final RequestDigest SAME = new RequestDigest(7, 7, 7);
 
-	/** From the sending of the request to the end of its engine. */
-	private static final long UNTIL_END_MILLIS = 350;
+	/** Time from sending a request to the crash of its engine. */
+	private static final long CRASH_DELAY_MILLIS = 350;
 
 	private final DispatchHarness harness = DispatchHarness.create();
 
-	private int handled;
+	private int processedAttempts;
 
 	@Test
-	void aGenerationUnderWhichThreeEnginesEndedIsSentToNoFourth() {
+	void generationThatCrashedThreeEnginesIsNotSentAgain() {
 		List.of("a", "b", "c", "d", "e", "f").forEach((id) -> this.harness.join(DispatchHarness.ENGINES, id));
 		int calls = 0;
 		while (calls < 8) {
 			calls++;
 			this.harness.asks(calls, SAME);
 			this.harness.openStream(calls);
-			endAllThatIsSent();
+			crashTargetsOfAllAttempts();
 		}
-		assertThat(this.handled).isEqualTo(3);
+		assertThat(this.processedAttempts).isEqualTo(3);
 		assertThat(this.harness.sent).hasSize(3);
 		assertThat(this.harness.refusals.get(8L).verdict()).isEqualTo(Verdict.NOT_RUN);
 		assertThat(this.harness.refusals.get(8L).reason()).isEqualTo(RefusalReason.QUARANTINED);
@@ -56,18 +48,18 @@
 	}
 
 	@Test
-	void aCallThatMayRunMoreThanOnceIsNotSentAgainOnceThreeTargetsEndedUnderIt() {
+	void repeatableRequestThatCrashedThreeTargetsIsNotRetried() {
 		List.of("a", "b", "c", "d", "e").forEach((id) -> this.harness.join(DispatchHarness.PLAIN, id));
 		for (int call = 1; call <= 3; call++) {
 			this.harness.asks(call, SAME);
 			this.harness.open(call, RequestKind.SAFE, 4);
-			endAllThatIsSent();
+			crashTargetsOfAllAttempts();
 		}
-		assertThat(this.handled).isEqualTo(3);
+		assertThat(this.processedAttempts).isEqualTo(3);
 	}
 
 	@Test
-	void callsUnderWayAreGivenUpOnceTheirRequestIsQuarantined() {
+	void callsInProgressEndWhenTheirRequestIsQuarantined() {
 		List.of("a", "b", "c", "d").forEach((id) -> this.harness.join(DispatchHarness.ENGINES, id));
 		this.harness.asks(1, SAME);
 		this.harness.openStream(1);
@@ -82,7 +74,7 @@
 	}
 
 	@Test
-	void aGenerationThatHasBegunGoesOnAndIsNotCarriedToACopy() {
+	void startedGenerationContinuesButIsNotResumedAtACopy() {
 		List.of("a", "b", "c").forEach((id) -> this.harness.join(DispatchHarness.ENGINES, id));
 		this.harness.asks(1, SAME);
 		this.harness.openStream(1);
@@ -95,9 +87,8 @@
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
 
-	// A request that is about to be written when the news comes is not written.
 	@Test
-	void nothingIsSentOnAConnectionThatComesUpBehindTheNews() {
+	void quarantinedRequestIsNotWrittenToNewConnection() {
 		List.of("a", "b").forEach((id) -> this.harness.join(DispatchHarness.PLAIN, id));
 		this.harness.asks(1, SAME);
 		this.harness.open(1, RequestKind.UNSAFE, 1);
@@ -107,7 +98,7 @@
 	}
 
 	@Test
-	void aConnectionThatATargetResetsIsNoEnd() {
+	void connectionResetAloneIsNoCrash() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
 		this.harness.breakOff(sent);
@@ -119,12 +110,12 @@
 	}
 
 	@Test
-	void aRefusedConnectionBehindABreakIsAnEnd() {
+	void refusedConnectionAfterABrokenOneIsACrash() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
 		this.harness.breakOff(sent);
 		assertThat(this.harness.checked).containsExactly(sent.target());
-		// A process that ends may close its connections before its port.
+		// A process that crashes may close its connections before its port.
 		this.harness.dispatcher.checked(sent.target(), false, this.harness.now);
 		this.harness.passTime(50);
 		assertThat(this.harness.checked).hasSize(2);
@@ -133,12 +124,11 @@
 		assertThat(this.harness.suspected).containsExactly(SAME);
 	}
 
-	// The refused connection is the third end's evidence, so that the call that it
-	// belongs
-	// to is given up by the quarantine while its own failure is being taken. Its work at
-	// the target was let go of twice.
+	// The refused connection is evidence of the third crash, so the quarantine ends the
+	// call while its own failure is being handled. Guards against releasing its work
+	// twice.
 	@Test
-	void aCallWhoseRefusedConnectionBringsTheQuarantineEndsOnce() {
+	void callWhoseRefusedConnectionCausesTheQuarantineEndsOnce() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
 		this.harness.asks(2, SAME);
@@ -153,7 +143,7 @@
 	}
 
 	@Test
-	void theEndOfATargetLongBehindABreakDoesNotExplainIt() {
+	void crashLongAfterABrokenConnectionIsUnrelated() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
 		this.harness.breakOff(sent);
@@ -163,7 +153,7 @@
 	}
 
 	@Test
-	void whatRanAtATargetThatWasLeavingIsNotSuspected() {
+	void requestAtDrainingTargetIsNotSuspected() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
 		this.harness.leave(target);
@@ -174,7 +164,7 @@
 	}
 
 	@Test
-	void aTargetThatStartsAgainEndedUnderWhatRanThere() {
+	void restartedTargetCrashedWhileExecutingItsRequests() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "a");
 		sendOne();
 		this.harness.startAgain(target);
@@ -182,7 +172,7 @@
 	}
 
 	@Test
-	void aTargetThatStartsAgainBehindItsNoticeDidNotEndUnderWhatRanThere() {
+	void targetRestartedAfterItsNoticeDidNotCrash() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "a");
 		sendOne();
 		this.harness.leave(target);
@@ -191,7 +181,7 @@
 	}
 
 	@Test
-	void aGenerationThatSentEventsForTwoSecondsIsCleared() {
+	void generationThatSentEventsForTwoSecondsIsCleared() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.asks(1, SAME);
 		this.harness.openStream(1);
@@ -211,7 +201,7 @@
 	}
 
 	@Test
-	void aGenerationThatEndedEarlierIsSuspected() {
+	void generationThatBrokeEarlierIsSuspected() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.asks(1, SAME);
 		this.harness.openStream(1);
@@ -224,7 +214,7 @@
 	}
 
 	@Test
-	void aWholeAnswerClearsItsRequestAndAFailureDoesNot() {
+	void completeResponseClearsItsRequestAndFailureDoesNot() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
 		this.harness.suspects.ended(SAME, TargetRun.of("x"), this.harness.now, this.harness.now);
@@ -237,18 +227,18 @@
 	}
 
 	@Test
-	void nothingIsKeptFromTargetsWhereTheMechanismIsOff() {
-		DispatchHarness without = DispatchHarness.without(Mechanism.REQUEST_QUARANTINE);
-		without.join(DispatchHarness.PLAIN, "a");
+	void disabledMechanismQuarantinesNothing() {
+		DispatchHarness withoutQuarantine = DispatchHarness.without(Mechanism.REQUEST_QUARANTINE);
+		withoutQuarantine.join(DispatchHarness.PLAIN, "a");
 		for (String id : List.of("x", "y", "z")) {
-			without.suspects.ended(SAME, TargetRun.of(id), 0, 0);
+			withoutQuarantine.suspects.ended(SAME, TargetRun.of(id), 0, 0);
 		}
-		without.asks(1, SAME);
-		without.open(1, RequestKind.UNSAFE, 1);
-		assertThat(without.sent).hasSize(1);
+		withoutQuarantine.asks(1, SAME);
+		withoutQuarantine.open(1, RequestKind.UNSAFE, 1);
+		assertThat(withoutQuarantine.sent).hasSize(1);
 	}
 
-	// What another entry tells, too.
+	// Records crashes as if another entry had announced them.
 	private void quarantine() {
 		for (String id : List.of("x", "y", "z")) {
 			this.harness.suspects.ended(SAME, TargetRun.of(id), this.harness.now, this.harness.now);
@@ -261,14 +251,13 @@
 		return this.harness.arrive();
 	}
 
-	// Each sending ends its target, whether it is the first of its call or goes on at a
-	// copy of a generation that was lost.
-	private void endAllThatIsSent() {
-		while (this.handled < this.harness.sent.size()) {
-			DispatchHarness.Sent attempt = this.harness.sent.get(this.handled);
-			this.handled++;
+	// Crashes the target of each attempt, including those that resume at a copy.
+	private void crashTargetsOfAllAttempts() {
+		while (this.processedAttempts < this.harness.sent.size()) {
+			DispatchHarness.Sent attempt = this.harness.sent.get(this.processedAttempts);
+			this.processedAttempts++;
 			if (this.harness.assertReady(attempt)) {
-				this.harness.passTime(UNTIL_END_MILLIS);
+				this.harness.passTime(CRASH_DELAY_MILLIS);
 				this.harness.breakOff(attempt);
 				this.harness.end(attempt.target());
 			}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RetryWindowTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RetryWindowTests.java
@@ -13,8 +13,8 @@
 class RetryWindowTests {
 
 	@Test
-	void allowsAShareOfTheRequestsAndAPartOfTheFixedNumberInEachWindow() {
-		RetryWindow window = alone(0.2, 3);
+	void allowsShareOfRequestsPlusFixedNumberPerWindow() {
+		RetryWindow window = withoutOthers(0.2, 3);
 		for (int i = 0; i < 10; i++) {
 			window.recordRequest("s", i);
 		}
@@ -22,8 +22,8 @@
 	}
 
 	@Test
-	void eachSpanOfTheWindowsLengthHolds() {
-		RetryWindow window = alone(0, 3);
+	void limitHoldsInEverySlidingWindow() {
+		RetryWindow window = withoutOthers(0, 3);
 		int taken = 0;
 		for (long now = 0; now < 9_900; now += 100) {
 			taken += window.tryTake("s", now) ? 1 : 0;
@@ -33,21 +33,21 @@
 	}
 
 	@Test
-	void servicesHaveTheirOwn() {
-		RetryWindow window = alone(0, 1);
+	void servicesHaveSeparateBudgets() {
+		RetryWindow window = withoutOthers(0, 1);
 		assertThat(window.tryTake("a", 0)).isTrue();
 		assertThat(window.tryTake("b", 0)).isTrue();
 		assertThat(window.tryTake("a", 1)).isFalse();
 	}
 
 	@Test
-	void spendsMoreWhereAllTogetherStayClearOfTheBound() {
+	void spendsMoreWhileFleetStaysBelowLimit() {
 		RetryWindow window = new RetryWindow(10_000, 0, 1, 10,
 				(s, w, now) -> Optional.of(new ServiceSpending(s, 0, 4)));
 		assertThat(taken(window, 20)).isEqualTo(3);
 	}
 
-	private static RetryWindow alone(double ratio, double fixed) {
+	private static RetryWindow withoutOthers(double ratio, double fixed) {
 		return new RetryWindow(10_000, ratio, fixed, fixed, (s, w, now) -> Optional.empty());
 	}
 
