--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
@@ -13,570 +13,574 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link Dispatcher} and {@link StreamMover}: streams and their moves.
+ * Tests for {@link Dispatcher} and {@link StreamMover}: streams and their moves between
+ * engines.
  */
 class StreamMovingTests {
 
-	private static final long TOO_LARGE_FOR_A_COPY = 22_000;
+	private static final long TOKENS_TOO_LARGE_FOR_COPY = 22_000;
 
-	/** Longer than whole copies wait for what is nearly copied. */
-	private static final long AFTER_NOTICE = 90;
+	/**
+	 * Longer than the time after a reclaim notice that is reserved for small copies.
+	 */
+	private static final long AFTER_SMALL_COPIES_MILLIS = 90;
 
-	private final DispatchHarness world = DispatchHarness.create();
+	private final DispatchHarness harness = DispatchHarness.create();
 
 	@Test
-	void passesEachEventOnceInOrder() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.openStream(1);
-		Sent sent = this.world.arrive();
-		assertThat(this.world.event(sent, 0)).isTrue();
-		assertThat(this.world.event(sent, 1)).isTrue();
-		assertThat(this.world.event(sent, 1)).isFalse();
-		this.world.dispatcher.streamEnded(1, sent.attempt(), 50);
-		assertThat(this.world.answers(1)).containsExactly("started", "ended").inOrder();
+	void deliversEachEventOnceInOrder() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.openStream(1);
+		Sent sent = this.harness.arrive();
+		assertThat(this.harness.event(sent, 0)).isTrue();
+		assertThat(this.harness.event(sent, 1)).isTrue();
+		assertThat(this.harness.event(sent, 1)).isFalse();
+		this.harness.dispatcher.streamEnded(1, sent.attempt(), 50);
+		assertThat(this.harness.answers(1)).containsExactly("started", "ended").inOrder();
 	}
 
 	@Test
-	void aMissingEventEndsTheStreamAsNotWhole() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.openStream(1);
-		Sent sent = this.world.arrive();
-		this.world.event(sent, 0);
-		assertThat(this.world.event(sent, 2)).isFalse();
-		assertThat(this.world.answers(1)).containsExactly("started", "cut").inOrder();
+	void missingEventCutsTheStream() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.openStream(1);
+		Sent sent = this.harness.arrive();
+		this.harness.event(sent, 0);
+		assertThat(this.harness.event(sent, 2)).isFalse();
+		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
 
 	@Test
-	void aStreamNeverBeginsAnew() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.openStream(1);
-		this.world.join(DispatchHarness.ENGINES, "b");
-		Sent sent = this.world.arrive();
-		this.world.event(sent, 0);
-		this.world.breakOff(sent);
-		assertThat(this.world.sent).hasSize(1);
-		assertThat(this.world.answers(1)).containsExactly("started", "cut").inOrder();
+	void startedStreamIsNotRestarted() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.openStream(1);
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		Sent sent = this.harness.arrive();
+		this.harness.event(sent, 0);
+		this.harness.breakOff(sent);
+		assertThat(this.harness.sent).hasSize(1);
+		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
 
 	@Test
-	void goesOnAtItsRunningCopyWhenTheEngineLeavesAndEndsTheFirstRunAtTheFirstEvent() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.openStream(1);
-		Sent first = this.world.arrive();
+	void resumesAtLiveCopyWhenEngineDrainsAndAbandonsFirstAttemptAtFirstEvent() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.openStream(1);
+		Sent first = this.harness.arrive();
 		ListedTarget source = first.target();
 		assertThat(first.order().backup().isPresent()).isTrue();
-		this.world.event(first, 0);
-		this.world.event(first, 1);
-		this.world.leave(source);
-		Sent second = this.world.arrive();
+		this.harness.event(first, 0);
+		this.harness.event(first, 1);
+		this.harness.leave(source);
+		Sent second = this.harness.arrive();
 		assertThat(second.target().address()).isEqualTo(first.order().backup().get());
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(second.target().address(), DispatchHarness.id(1), "1")));
-		assertThat(this.world.abandoned).isEmpty();
-		assertThat(this.world.event(first, 2)).isTrue();
-		assertThat(this.world.event(second, 2)).isFalse();
-		assertThat(this.world.abandoned).containsExactly("1/" + first.attempt());
-		assertThat(this.world.event(second, 3)).isTrue();
-		assertThat(this.world.event(first, 3)).isFalse();
-	}
-
-	@Test
-	void aCopyThatSendsNothingIsGivenUpWhileTheFirstRunSendsEvents() {
-		Sent first = streamWithCopy();
-		this.world.leave(first.target());
-		Sent second = this.world.arrive();
-		this.world.passTime(250);
-		this.world.event(first, 2);
-		this.world.passTime(60);
-		assertThat(this.world.abandoned).containsExactly("1/" + second.attempt());
-		assertThat(this.world.event(first, 3)).isTrue();
-		this.world.passTime(100);
-		assertThat(this.world.copies).hasSize(1);
-	}
-
-	@Test
-	void aFirstRunThatSendsNothingIsEndedBeforeTwoRunsWorkForTooLong() {
-		Sent first = streamWithCopy();
-		this.world.leave(first.target());
-		Sent second = this.world.arrive();
-		this.world.passTime(310);
-		assertThat(this.world.abandoned).containsExactly("1/" + first.attempt());
-		assertThat(this.world.event(second, 2)).isTrue();
-		assertThat(this.world.answers(1)).containsExactly("started");
-	}
-
-	private Sent streamWithCopy() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.openStream(1);
-		Sent first = this.world.arrive();
-		this.world.event(first, 0);
-		this.world.event(first, 1);
+		assertThat(this.harness.abandoned).isEmpty();
+		assertThat(this.harness.event(first, 2)).isTrue();
+		assertThat(this.harness.event(second, 2)).isFalse();
+		assertThat(this.harness.abandoned).containsExactly("1/" + first.attempt());
+		assertThat(this.harness.event(second, 3)).isTrue();
+		assertThat(this.harness.event(first, 3)).isFalse();
+	}
+
+	@Test
+	void silentCopyIsAbandonedWhileFirstAttemptSendsEvents() {
+		Sent first = streamWithLiveCopy();
+		this.harness.leave(first.target());
+		Sent second = this.harness.arrive();
+		this.harness.passTime(250);
+		this.harness.event(first, 2);
+		this.harness.passTime(60);
+		assertThat(this.harness.abandoned).containsExactly("1/" + second.attempt());
+		assertThat(this.harness.event(first, 3)).isTrue();
+		this.harness.passTime(100);
+		assertThat(this.harness.copies).hasSize(1);
+	}
+
+	@Test
+	void silentFirstAttemptIsAbandonedAfterTimeout() {
+		Sent first = streamWithLiveCopy();
+		this.harness.leave(first.target());
+		Sent second = this.harness.arrive();
+		this.harness.passTime(310);
+		assertThat(this.harness.abandoned).containsExactly("1/" + first.attempt());
+		assertThat(this.harness.event(second, 2)).isTrue();
+		assertThat(this.harness.answers(1)).containsExactly("started");
+	}
+
+	private Sent streamWithLiveCopy() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.openStream(1);
+		Sent first = this.harness.arrive();
+		this.harness.event(first, 0);
+		this.harness.event(first, 1);
 		return first;
 	}
 
 	@Test
-	void aGenerationThatGoesOnAtAnEngineWhichLeavesTooIsMovedFromThere() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.openStream(1);
-		Sent first = this.world.arrive();
-		this.world.event(first, 0);
-		this.world.leave(first.target());
-		Sent second = this.world.arrive();
-		this.world.join(DispatchHarness.ENGINES, "c");
-		this.world.leave(second.target());
-		this.world.event(first, 1);
-		assertThat(this.world.event(second, 1)).isFalse();
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies).hasSize(1);
-		assertThat(this.world.copies.get(0).source()).isEqualTo(second.target());
-		assertThat(this.world.copies.get(0).destination().id()).isEqualTo("c");
-	}
-
-	@Test
-	void aGenerationDoesNotGoOnAtACopyWhoseEngineLeavesAtTheSameTime() {
-		ListedTarget a = this.world.join(DispatchHarness.ENGINES, "a");
-		ListedTarget b = this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.openStream(1);
-		Sent first = this.world.arrive();
-		this.world.event(first, 0);
-		this.world.join(DispatchHarness.ENGINES, "c");
+	void generationResumedAtDrainingEngineIsMovedAgain() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.openStream(1);
+		Sent first = this.harness.arrive();
+		this.harness.event(first, 0);
+		this.harness.leave(first.target());
+		Sent second = this.harness.arrive();
+		this.harness.join(DispatchHarness.ENGINES, "c");
+		this.harness.leave(second.target());
+		this.harness.event(first, 1);
+		assertThat(this.harness.event(second, 1)).isFalse();
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies).hasSize(1);
+		assertThat(this.harness.copies.get(0).source()).isEqualTo(second.target());
+		assertThat(this.harness.copies.get(0).destination().id()).isEqualTo("c");
+	}
+
+	@Test
+	void generationDoesNotResumeAtCopyWhoseEngineDrainsAtTheSameTime() {
+		ListedTarget a = this.harness.join(DispatchHarness.ENGINES, "a");
+		ListedTarget b = this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.openStream(1);
+		Sent first = this.harness.arrive();
+		this.harness.event(first, 0);
+		this.harness.join(DispatchHarness.ENGINES, "c");
 		ListedTarget copy = first.target().equals(a) ? b : a;
-		this.world.directory.together(() -> {
-			this.world.leave(first.target());
-			this.world.directory.remove(copy.id(), this.world.now);
+		this.harness.directory.together(() -> {
+			this.harness.leave(first.target());
+			this.harness.directory.remove(copy.id(), this.harness.now);
 		});
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.sent).hasSize(1);
-		assertThat(this.world.copies).hasSize(1);
-		assertThat(this.world.copies.get(0).destination().id()).isEqualTo("c");
-	}
-
-	@Test
-	void aRunThatBeginsAfterTheNoticeIsCopiedOnceItRunsSinceItsRunningCopyIsNotThereYet() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.openStream(1);
-		Sent first = this.world.arrive();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies).isEmpty();
-		this.world.event(first, 0);
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies).hasSize(1);
-		assertThat(this.world.sent).hasSize(1);
-		this.world.breakOff(first);
-		Sent second = this.world.arrive();
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.sent).hasSize(1);
+		assertThat(this.harness.copies).hasSize(1);
+		assertThat(this.harness.copies.get(0).destination().id()).isEqualTo("c");
+	}
+
+	@Test
+	void generationStartedAfterNoticeIsCopiedBeforeItsLiveCopyExists() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.openStream(1);
+		Sent first = this.harness.arrive();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies).isEmpty();
+		this.harness.event(first, 0);
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies).hasSize(1);
+		assertThat(this.harness.sent).hasSize(1);
+		this.harness.breakOff(first);
+		Sent second = this.harness.arrive();
 		assertThat(second.target().address()).isEqualTo(first.order().backup().get());
 	}
 
 	@Test
-	void aRunThatBeginsLateIsStoppedInTimeForItsEnginesNotice() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.openStream(1, TOO_LARGE_FOR_A_COPY);
-		Sent late = this.world.arrive();
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.leave(late.target());
-		this.world.passTime(1_300);
-		this.world.event(late, 0);
-		this.world.passTime(AFTER_NOTICE);
-		this.world.now += 300;
-		this.world.copied(Outcome.COPIED, "h1");
-		assertThat(this.world.copies.get(1).stop()).isTrue();
-	}
-
-	@Test
-	void aStandbyCopyWaitsForMovesInItsDataCentreAndForCopiesOverItsLinks() {
-		streamWithoutRunningCopy();
-		ListedTarget other = this.world.join(DispatchHarness.ENGINES, "c");
-		this.world.leave(other);
-		this.world.passTime(1_500);
-		assertThat(this.world.copies).isEmpty();
-		this.world.ourTurn = false;
-		this.world.passTime(1_000);
-		assertThat(this.world.copies).isEmpty();
-		this.world.ourTurn = true;
-		this.world.passTime(100);
-		assertThat(this.world.copies).hasSize(1);
-	}
-
-	@Test
-	void whereTheEngineEndsBeforeTheLastPartTheGenerationGoesOnAtThePartCopiedBefore() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		ListedTarget destination = this.world.copies.get(0).destination();
-		this.world.copied(Outcome.COPIED, "h1");
-		assertThat(this.world.copies.get(1).stop()).isTrue();
-		this.world.breakOff(first);
-		this.world.copied(Outcome.NO_ANSWER, "");
-		Sent second = this.world.arrive();
+	void generationStartedLateIsStoppedWithinReclaimNotice() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.openStream(1, TOKENS_TOO_LARGE_FOR_COPY);
+		Sent late = this.harness.arrive();
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.leave(late.target());
+		this.harness.passTime(1_300);
+		this.harness.event(late, 0);
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		this.harness.now += 300;
+		this.harness.copied(Outcome.COPIED, "h1");
+		assertThat(this.harness.copies.get(1).stop()).isTrue();
+	}
+
+	@Test
+	void standbyCopyWaitsForMovesAndForCopiesOnItsLinks() {
+		streamWithoutLiveCopy();
+		ListedTarget other = this.harness.join(DispatchHarness.ENGINES, "c");
+		this.harness.leave(other);
+		this.harness.passTime(1_500);
+		assertThat(this.harness.copies).isEmpty();
+		this.harness.ourTurn = false;
+		this.harness.passTime(1_000);
+		assertThat(this.harness.copies).isEmpty();
+		this.harness.ourTurn = true;
+		this.harness.passTime(100);
+		assertThat(this.harness.copies).hasSize(1);
+	}
+
+	@Test
+	void resumesAtPartialCopyWhenEngineCrashesBeforeFinalCopy() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		ListedTarget destination = this.harness.copies.get(0).destination();
+		this.harness.copied(Outcome.COPIED, "h1");
+		assertThat(this.harness.copies.get(1).stop()).isTrue();
+		this.harness.breakOff(first);
+		this.harness.copied(Outcome.NO_ANSWER, "");
+		Sent second = this.harness.arrive();
 		assertThat(second.target()).isEqualTo(destination);
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(first.target().address(), "h1", "0")));
 	}
 
 	@Test
-	void aCopyThatHasToBeOrderedAgainGoesWhereAPartOfItStands() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		ListedTarget destination = this.world.copies.get(0).destination();
-		this.world.now += 300;
-		this.world.copied(Outcome.COPIED, "h1");
-		this.world.join(DispatchHarness.ENGINES, "c");
-		this.world.beliefs.change(destination, (b) -> b.held(6_000));
-		this.world.copied(Outcome.UNDER_WAY, "");
-		this.world.passTime(100);
-		assertThat(this.world.copies).hasSize(3);
-		assertThat(this.world.copies.get(2).destination()).isEqualTo(destination);
-	}
-
-	@Test
-	void aPartThatStandsIsUsedWhereTheEngineEndsBeforeTheNextOrder() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		ListedTarget destination = this.world.copies.get(0).destination();
-		this.world.copied(Outcome.COPIED, "h1");
-		this.world.copied(Outcome.NO_ANSWER, "");
-		this.world.breakOff(first);
-		Sent second = this.world.arrive();
+	void repeatedCopyOrderKeepsDestinationOfPartialCopy() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		ListedTarget destination = this.harness.copies.get(0).destination();
+		this.harness.now += 300;
+		this.harness.copied(Outcome.COPIED, "h1");
+		this.harness.join(DispatchHarness.ENGINES, "c");
+		this.harness.beliefs.change(destination, (b) -> b.held(6_000));
+		this.harness.copied(Outcome.UNDER_WAY, "");
+		this.harness.passTime(100);
+		assertThat(this.harness.copies).hasSize(3);
+		assertThat(this.harness.copies.get(2).destination()).isEqualTo(destination);
+	}
+
+	@Test
+	void resumesAtPartialCopyWhenEngineCrashesBeforeNextOrder() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		ListedTarget destination = this.harness.copies.get(0).destination();
+		this.harness.copied(Outcome.COPIED, "h1");
+		this.harness.copied(Outcome.NO_ANSWER, "");
+		this.harness.breakOff(first);
+		Sent second = this.harness.arrive();
 		assertThat(second.target()).isEqualTo(destination);
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(first.target().address(), "h1", "0")));
 	}
 
 	@Test
-	void aCopyGoesWhereTheLinkIsFree() {
-		Sent first = streamWithoutRunningCopy();
-		ListedTarget free = this.world.join(DispatchHarness.ENGINES, "c");
-		ListedTarget busy = this.world.directory.find("b").get();
-		this.world.beliefs.change(free, (b) -> b.held(5_000));
-		this.world.beliefs.of(busy).copying(1);
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies.get(0).destination()).isEqualTo(free);
+	void copyPrefersDestinationWithIdleLink() {
+		Sent first = streamWithoutLiveCopy();
+		ListedTarget free = this.harness.join(DispatchHarness.ENGINES, "c");
+		ListedTarget busy = this.harness.directory.find("b").get();
+		this.harness.beliefs.change(free, (b) -> b.held(5_000));
+		this.harness.beliefs.of(busy).copying(1);
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies.get(0).destination()).isEqualTo(free);
 	}
 
 	@Test
-	void anEngineThatDoesNotAnswerAnOrderSaysNothingOfTheDestination() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		ListedTarget destination = this.world.copies.get(0).destination();
-		this.world.copied(Outcome.NO_ANSWER, "");
-		assertThat(this.world.beliefs.of(destination).isFull(this.world.now)).isFalse();
+	void unansweredCopyOrderDoesNotPenalizeDestination() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		ListedTarget destination = this.harness.copies.get(0).destination();
+		this.harness.copied(Outcome.NO_ANSWER, "");
+		assertThat(this.harness.beliefs.of(destination).isFull(this.harness.now)).isFalse();
 	}
 
 	@Test
-	void goesOnAtItsRunningCopyWhenTheEngineDies() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.openStream(1);
-		Sent first = this.world.arrive();
-		this.world.event(first, 0);
-		this.world.breakOff(first);
-		Sent second = this.world.arrive();
+	void resumesAtLiveCopyWhenEngineCrashes() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.openStream(1);
+		Sent first = this.harness.arrive();
+		this.harness.event(first, 0);
+		this.harness.breakOff(first);
+		Sent second = this.harness.arrive();
 		assertThat(second.order().resume().isPresent()).isTrue();
-		assertThat(this.world.event(second, 1)).isTrue();
-		this.world.dispatcher.streamEnded(1, second.attempt(), this.world.now);
-		assertThat(this.world.answers(1)).containsExactly("started", "ended").inOrder();
-	}
-
-	@Test
-	void whereTheRunningCopyIsOfNoUseTheRunIsCopiedAndStopped() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.openStream(1);
-		Sent first = this.world.arrive();
-		this.world.event(first, 0);
-		this.world.leave(first.target());
-		this.world.answer(this.world.arrive(), 503, true);
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies).hasSize(1);
-		assertThat(this.world.copies.get(0).stop()).isFalse();
-		assertThat(this.world.event(first, 1)).isTrue();
-	}
-
-	@Test
-	void copiesWhileTheRunGoesOnAndStopsItBehindAQuickRound() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies).hasSize(1);
-		this.world.now += 400;
-		this.world.copied(Outcome.COPIED, "h1");
-		assertThat(this.world.copies.get(1).stop()).isFalse();
-		this.world.now += 20;
-		this.world.copied(Outcome.COPIED, "h1");
-		assertThat(this.world.copies.get(2).stop()).isTrue();
-		assertThat(this.world.event(first, 1)).isTrue();
-		this.world.breakOff(first);
-		assertThat(this.world.answers(1)).containsExactly("started");
-		this.world.now += 10;
-		this.world.copied(Outcome.COPIED, "h1");
-		Sent second = this.world.arrive();
-		assertThat(second.target().id()).isEqualTo(this.world.copies.get(2).destination().id());
+		assertThat(this.harness.event(second, 1)).isTrue();
+		this.harness.dispatcher.streamEnded(1, second.attempt(), this.harness.now);
+		assertThat(this.harness.answers(1)).containsExactly("started", "ended").inOrder();
+	}
+
+	@Test
+	void generationIsCopiedWhenItsLiveCopyIsRejected() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.openStream(1);
+		Sent first = this.harness.arrive();
+		this.harness.event(first, 0);
+		this.harness.leave(first.target());
+		this.harness.answer(this.harness.arrive(), 503, true);
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies).hasSize(1);
+		assertThat(this.harness.copies.get(0).stop()).isFalse();
+		assertThat(this.harness.event(first, 1)).isTrue();
+	}
+
+	@Test
+	void copiesWhileRunningAndStopsAfterAFastCopy() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies).hasSize(1);
+		this.harness.now += 400;
+		this.harness.copied(Outcome.COPIED, "h1");
+		assertThat(this.harness.copies.get(1).stop()).isFalse();
+		this.harness.now += 20;
+		this.harness.copied(Outcome.COPIED, "h1");
+		assertThat(this.harness.copies.get(2).stop()).isTrue();
+		assertThat(this.harness.event(first, 1)).isTrue();
+		this.harness.breakOff(first);
+		assertThat(this.harness.answers(1)).containsExactly("started");
+		this.harness.now += 10;
+		this.harness.copied(Outcome.COPIED, "h1");
+		Sent second = this.harness.arrive();
+		assertThat(second.target().id()).isEqualTo(this.harness.copies.get(2).destination().id());
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(first.target().address(), "h1", "1")));
-		assertThat(this.world.event(second, 2)).isTrue();
+		assertThat(this.harness.event(second, 2)).isTrue();
 	}
 
 	@Test
-	void aStoppedRunWhoseCopyIsRefusedGoesOnWhereItStoppedAndIsCopiedAnew() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		this.world.copied(Outcome.COPIED, "h1");
-		this.world.breakOff(first);
-		this.world.copied(Outcome.COPIED, "h1");
-		Sent second = this.world.arrive();
-		this.world.answer(second, 503, true);
-		Sent third = this.world.arrive();
+	void stoppedGenerationWhoseCopyIsRejectedResumesAtSourceAndIsCopiedAgain() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		this.harness.copied(Outcome.COPIED, "h1");
+		this.harness.breakOff(first);
+		this.harness.copied(Outcome.COPIED, "h1");
+		Sent second = this.harness.arrive();
+		this.harness.answer(second, 503, true);
+		Sent third = this.harness.arrive();
 		assertThat(third.target()).isEqualTo(first.target());
 		assertThat(third.order().resume()).isEqualTo(second.order().resume());
-		int copiesBefore = this.world.copies.size();
-		assertThat(this.world.event(third, 1)).isTrue();
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies).hasSize(copiesBefore + 1);
+		int copiesBefore = this.harness.copies.size();
+		assertThat(this.harness.event(third, 1)).isTrue();
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies).hasSize(copiesBefore + 1);
 	}
 
 	@Test
-	void aStoppedRunThatIsRefusedAtBothEnginesIsLost() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		this.world.copied(Outcome.COPIED, "h1");
-		this.world.breakOff(first);
-		this.world.copied(Outcome.COPIED, "h1");
-		this.world.answer(this.world.arrive(), 503, true);
-		this.world.answer(this.world.arrive(), 503, true);
-		assertThat(this.world.answers(1)).containsExactly("started", "cut").inOrder();
+	void stoppedGenerationRejectedByBothEnginesIsCut() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		this.harness.copied(Outcome.COPIED, "h1");
+		this.harness.breakOff(first);
+		this.harness.copied(Outcome.COPIED, "h1");
+		this.harness.answer(this.harness.arrive(), 503, true);
+		this.harness.answer(this.harness.arrive(), 503, true);
+		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
 
 	@Test
-	void waitsForTheLastEventsOfAStoppedRunButNotForLong() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		this.world.copied(Outcome.COPIED, "h1");
-		this.world.copied(Outcome.COPIED, "h1");
-		int sentBefore = this.world.sent.size();
-		assertThat(this.world.event(first, 1)).isTrue();
-		this.world.passTime(100);
-		assertThat(this.world.sent).hasSize(sentBefore + 1);
-		assertThat(this.world.sent.get(sentBefore).order().resume().get().lastEvent()).isEqualTo("1");
-		assertThat(this.world.abandoned).contains("1/" + first.attempt());
+	void waitForLastEventsOfStoppedGenerationTimesOut() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		this.harness.copied(Outcome.COPIED, "h1");
+		this.harness.copied(Outcome.COPIED, "h1");
+		int sentBefore = this.harness.sent.size();
+		assertThat(this.harness.event(first, 1)).isTrue();
+		this.harness.passTime(100);
+		assertThat(this.harness.sent).hasSize(sentBefore + 1);
+		assertThat(this.harness.sent.get(sentBefore).order().resume().get().lastEvent()).isEqualTo("1");
+		assertThat(this.harness.abandoned).contains("1/" + first.attempt());
 	}
 
 	@Test
-	void triesAnotherEngineWhereOneHasNoRoom() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.join(DispatchHarness.ENGINES, "c");
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		String tried = this.world.copies.get(0).destination().id();
-		this.world.copied(Outcome.NO_ROOM, "");
-		assertThat(this.world.copies).hasSize(2);
-		assertThat(this.world.copies.get(1).destination().id()).isNotEqualTo(tried);
+	void copiesToAnotherEngineWhenDestinationHasNoMemory() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.join(DispatchHarness.ENGINES, "c");
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		String tried = this.harness.copies.get(0).destination().id();
+		this.harness.copied(Outcome.NO_ROOM, "");
+		assertThat(this.harness.copies).hasSize(2);
+		assertThat(this.harness.copies.get(1).destination().id()).isNotEqualTo(tried);
 	}
 
 	@Test
-	void triesAnotherEngineWhereACopyFails() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.join(DispatchHarness.ENGINES, "c");
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		String tried = this.world.copies.get(0).destination().id();
-		this.world.copied(Outcome.FAILED, "");
-		assertThat(this.world.copies).hasSize(2);
-		assertThat(this.world.copies.get(1).destination().id()).isNotEqualTo(tried);
+	void copiesToAnotherEngineWhenCopyFails() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.join(DispatchHarness.ENGINES, "c");
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		String tried = this.harness.copies.get(0).destination().id();
+		this.harness.copied(Outcome.FAILED, "");
+		assertThat(this.harness.copies).hasSize(2);
+		assertThat(this.harness.copies.get(1).destination().id()).isNotEqualTo(tried);
 	}
 
 	@Test
-	void aRunThatHasNotBegunIsCopiedOnceItHas() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		this.world.copied(Outcome.NO_SUCH_RUN, "");
-		this.world.passTime(60);
-		assertThat(this.world.copies).hasSize(2);
+	void generationNotStartedYetIsCopiedOnceStarted() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		this.harness.copied(Outcome.NO_SUCH_RUN, "");
+		this.harness.passTime(60);
+		assertThat(this.harness.copies).hasSize(2);
 	}
 
 	@Test
-	void copiesOfOneEngineAreMadeOneAfterTheOther() {
-		ListedTarget source = this.world.join(DispatchHarness.ENGINES, "a");
+	void copiesFromOneEngineAreSequential() {
+		ListedTarget source = this.harness.join(DispatchHarness.ENGINES, "a");
 		for (long call = 1; call <= 3; call++) {
-			this.world.openStream(call);
-			this.world.event(this.world.arrive(), 0);
+			this.harness.openStream(call);
+			this.harness.event(this.harness.arrive(), 0);
 		}
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.leave(source);
-		this.world.passTime(AFTER_NOTICE);
-		this.world.dispatcher.callerLeft(3, this.world.now);
-		assertThat(this.world.copies).hasSize(1);
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.leave(source);
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		this.harness.dispatcher.callerLeft(3, this.harness.now);
+		assertThat(this.harness.copies).hasSize(1);
 		for (int round = 0; round < 2; round++) {
-			assertThat(this.world.copies.get(round).requestId()).isEqualTo(this.world.copies.get(0).requestId());
-			this.world.copied(Outcome.COPIED, "h");
+			assertThat(this.harness.copies.get(round).requestId()).isEqualTo(this.harness.copies.get(0).requestId());
+			this.harness.copied(Outcome.COPIED, "h");
 		}
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies).hasSize(3);
-		assertThat(this.world.copies.get(2).requestId()).isNotEqualTo(this.world.copies.get(0).requestId());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies).hasSize(3);
+		assertThat(this.harness.copies.get(2).requestId()).isNotEqualTo(this.harness.copies.get(0).requestId());
 	}
 
 	@Test
 	void waitsForItsTurn() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.ourTurn = false;
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		assertThat(this.world.copies).isEmpty();
-		this.world.ourTurn = true;
-		this.world.passTime(10);
-		assertThat(this.world.copies).hasSize(1);
+		Sent first = streamWithoutLiveCopy();
+		this.harness.ourTurn = false;
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		assertThat(this.harness.copies).isEmpty();
+		this.harness.ourTurn = true;
+		this.harness.passTime(10);
+		assertThat(this.harness.copies).hasSize(1);
 	}
 
 	@Test
-	void keepsAStandbyCopyWhereThereIsNoRunningOneAndBringsItUpToDate() {
+	void keepsAndRefreshesStandbyCopyWithoutLiveCopy() {
 		Sent first = streamWithStandbyCopy();
-		CopyOrder order = this.world.copies.get(0);
+		CopyOrder order = this.harness.copies.get(0);
 		assertThat(order.stop()).isFalse();
-		this.world.event(first, 1);
-		this.world.passTime(3_000);
-		assertThat(this.world.copies).hasSize(2);
-		assertThat(this.world.copies.get(1).destination().id()).isEqualTo(order.destination().id());
+		this.harness.event(first, 1);
+		this.harness.passTime(3_000);
+		assertThat(this.harness.copies).hasSize(2);
+		assertThat(this.harness.copies.get(1).destination().id()).isEqualTo(order.destination().id());
 	}
 
 	@Test
-	void givesAStandbyCopyUpOnceGenerationsNeedTheFleetsMemory() {
+	void releasesStandbyCopyWhenFleetMemoryIsNeeded() {
 		Sent first = streamWithStandbyCopy();
-		fill(0.3);
-		this.world.passTime(3_000);
-		assertThat(this.world.released).isEmpty();
-		fill(0.6);
-		this.world.passTime(3_000);
-		assertThat(this.world.released).containsExactly(first.target().id() + "/s1");
-		assertThat(this.world.copies).hasSize(2);
+		reserveMemory(0.3);
+		this.harness.passTime(3_000);
+		assertThat(this.harness.released).isEmpty();
+		reserveMemory(0.6);
+		this.harness.passTime(3_000);
+		assertThat(this.harness.released).containsExactly(first.target().id() + "/s1");
+		assertThat(this.harness.copies).hasSize(2);
 	}
 
 	@Test
-	void keepsNoStandbyCopyWhereTheFleetIsMoreThanHalfFull() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.openStream(1, 9_000);
-		Sent sent = this.world.arrive();
-		this.world.join(DispatchHarness.ENGINES, "b");
-		fill(0.45);
-		this.world.event(sent, 0);
-		this.world.passTime(3_000);
-		assertThat(this.world.copies).isEmpty();
+	void createsNoStandbyCopyWhenFleetIsMoreThanHalfFull() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.openStream(1, 9_000);
+		Sent sent = this.harness.arrive();
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		reserveMemory(0.45);
+		this.harness.event(sent, 0);
+		this.harness.passTime(3_000);
+		assertThat(this.harness.copies).isEmpty();
 	}
 
-	// Lets other entries hold a part of the memory of both engines.
-	private void fill(double part) {
+	// Reserves a share of the memory of both engines for other entries.
+	private void reserveMemory(double share) {
 		for (String id : List.of("a", "b")) {
-			this.world.others.put(id,
-					new WorkAtTarget(TargetRun.of(id), 1, (long) (part * 34_000), 0, 0, false, 0, false));
+			this.harness.others.put(id,
+					new WorkAtTarget(TargetRun.of(id), 1, (long) (share * 34_000), 0, 0, false, 0, false));
 		}
 	}
 
 	@Test
-	void whatIsNearlyCopiedNeedsNoTurn() {
+	void smallCopyNeedsNoTurn() {
 		Sent first = streamWithStandbyCopy();
-		this.world.ourTurn = false;
-		this.world.leave(first.target());
-		assertThat(this.world.copies).hasSize(2);
-		assertThat(this.world.copies.get(1).destination().id()).isEqualTo(this.world.copies.get(0).destination().id());
+		this.harness.ourTurn = false;
+		this.harness.leave(first.target());
+		assertThat(this.harness.copies).hasSize(2);
+		assertThat(this.harness.copies.get(1).destination().id())
+			.isEqualTo(this.harness.copies.get(0).destination().id());
 	}
 
 	@Test
-	void aCallerThatLeavesDuringAStandbyCopyEndsIt() {
+	void callerDisconnectEndsStandbyCopyInProgress() {
 		Sent sent = streamWithStandbyCopyUnderWay();
-		this.world.dispatcher.callerLeft(1, this.world.now);
-		assertThat(this.world.beliefs.of(sent.target()).isCopying()).isFalse();
-		assertThat(this.world.lastAudit().target()).isEqualTo(sent.target().id());
+		this.harness.dispatcher.callerLeft(1, this.harness.now);
+		assertThat(this.harness.beliefs.of(sent.target()).isCopying()).isFalse();
+		assertThat(this.harness.lastAudit().target()).isEqualTo(sent.target().id());
 	}
 
 	@Test
-	void aStreamThatIsCutDuringAStandbyCopyEndsItAndTellsWhere() {
+	void cutStreamEndsStandbyCopyInProgressAndRecordsItsTarget() {
 		Sent sent = streamWithStandbyCopyUnderWay();
-		this.world.event(sent, 5);
-		assertThat(this.world.answers(1)).contains("cut");
-		assertThat(this.world.beliefs.of(sent.target()).isCopying()).isFalse();
-		assertThat(this.world.lastAudit().target()).isEqualTo(sent.target().id());
+		this.harness.event(sent, 5);
+		assertThat(this.harness.answers(1)).contains("cut");
+		assertThat(this.harness.beliefs.of(sent.target()).isCopying()).isFalse();
+		assertThat(this.harness.lastAudit().target()).isEqualTo(sent.target().id());
 	}
 
 	private Sent streamWithStandbyCopyUnderWay() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.openStream(1, 9_000);
-		Sent sent = this.world.arrive();
-		this.world.join(DispatchHarness.ENGINES, "b");
-		this.world.event(sent, 0);
-		this.world.passTime(800);
-		assertThat(this.world.copies).hasSize(1);
-		assertThat(this.world.beliefs.of(sent.target()).isCopying()).isTrue();
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.openStream(1, 9_000);
+		Sent sent = this.harness.arrive();
+		this.harness.join(DispatchHarness.ENGINES, "b");
+		this.harness.event(sent, 0);
+		this.harness.passTime(800);
+		assertThat(this.harness.copies).hasSize(1);
+		assertThat(this.harness.beliefs.of(sent.target()).isCopying()).isTrue();
 		return sent;
 	}
 
 	@Test
-	void aLostRunGoesOnAtItsStandbyCopy() {
+	void lostGenerationResumesAtStandbyCopy() {
 		Sent first = streamWithStandbyCopy();
-		this.world.event(first, 1);
-		this.world.breakOff(first);
-		Sent second = this.world.arrive();
+		this.harness.event(first, 1);
+		this.harness.breakOff(first);
+		Sent second = this.harness.arrive();
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(first.target().address(), "s1", "1")));
-		assertThat(this.world.event(second, 2)).isTrue();
+		assertThat(this.harness.event(second, 2)).isTrue();
 	}
 
 	@Test
-	void aLostRunGoesOnAtWhatItsMoveHasCopied() {
+	void lostGenerationResumesAtPartialCopyOfItsMove() {
 		Sent first = streamWithStandbyCopy();
-		this.world.leave(first.target());
-		this.world.event(first, 1);
-		this.world.breakOff(first);
-		Sent second = this.world.arrive();
+		this.harness.leave(first.target());
+		this.harness.event(first, 1);
+		this.harness.breakOff(first);
+		Sent second = this.harness.arrive();
 		assertThat(second.order().resume().get().handle()).isEqualTo("s1");
 	}
 
 	private Sent streamWithStandbyCopy() {
 		Sent first = streamWithStandbyCopyUnderWay();
-		this.world.copied(Outcome.COPIED, "s1");
+		this.harness.copied(Outcome.COPIED, "s1");
 		return first;
 	}
 
 	@Test
-	void releasesACopyThatIsNotNeededAnyMore() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(400);
-		this.world.copied(Outcome.COPIED, "h1");
-		this.world.dispatcher.streamEnded(1, first.attempt(), this.world.now);
-		assertThat(this.world.answers(1)).containsExactly("started", "ended").inOrder();
-		assertThat(this.world.released).contains(first.target().id() + "/h1");
+	void releasesCopyThatIsNoLongerNeeded() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(400);
+		this.harness.copied(Outcome.COPIED, "h1");
+		this.harness.dispatcher.streamEnded(1, first.attempt(), this.harness.now);
+		assertThat(this.harness.answers(1)).containsExactly("started", "ended").inOrder();
+		assertThat(this.harness.released).contains(first.target().id() + "/h1");
 	}
 
 	@Test
-	void aCallThatIsOverHoldsNothing() {
-		Sent first = streamWithoutRunningCopy();
-		this.world.leave(first.target());
-		this.world.passTime(AFTER_NOTICE);
-		this.world.dispatcher.callerLeft(1, this.world.now);
-		this.world.copied(Outcome.COPIED, "h1");
-		assertThat(this.world.released).contains(first.target().id() + "/h1");
-		assertThat(this.world.beliefs.ownWork()).isEmpty();
+	void endedCallHoldsNoReservation() {
+		Sent first = streamWithoutLiveCopy();
+		this.harness.leave(first.target());
+		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
+		this.harness.dispatcher.callerLeft(1, this.harness.now);
+		this.harness.copied(Outcome.COPIED, "h1");
+		assertThat(this.harness.released).contains(first.target().id() + "/h1");
+		assertThat(this.harness.beliefs.ownWork()).isEmpty();
 	}
 
-	// A prompt so large that no engine has room for a running copy beside it.
-	private Sent streamWithoutRunningCopy() {
-		this.world.join(DispatchHarness.ENGINES, "a");
-		this.world.openStream(1, TOO_LARGE_FOR_A_COPY);
-		Sent first = this.world.arrive();
-		this.world.join(DispatchHarness.ENGINES, "b");
+	// The prompt is so large that no engine has memory for a live copy beside it.
+	private Sent streamWithoutLiveCopy() {
+		this.harness.join(DispatchHarness.ENGINES, "a");
+		this.harness.openStream(1, TOKENS_TOO_LARGE_FOR_COPY);
+		Sent first = this.harness.arrive();
+		this.harness.join(DispatchHarness.ENGINES, "b");
 		assertThat(first.order().backup()).isEqualTo(Optional.empty());
-		this.world.event(first, 0);
+		this.harness.event(first, 0);
 		return first;
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
@@ -9,27 +9,26 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for the memory that {@link TargetBeliefs} hold for copies at a target.
+ * Tests for the memory that {@link TargetBeliefs} reserve for copies at a target.
  */
 class TargetBeliefsMemoryTests {
 
 	private final ListedTarget target = new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, false);
 
-	private final TargetBeliefs beliefs = new TargetBeliefs((run) -> Optional.empty(), new SplittableRandom(1));
+	private final TargetBeliefs estimates = new TargetBeliefs((run) -> Optional.empty(), new SplittableRandom(1));
 
 	/**
-	 * In runs of the whole system memory was believed at -8 to -22% of an engine that had
-	 * gone and come back while copies grew there, which made it look the emptiest: what
-	 * the copies held was forgotten and then given back.
+	 * Guards against a negative memory estimate of an engine that is removed and listed
+	 * again while copies to it are in progress.
 	 */
 	@Test
-	void whatCopiesHoldIsGivenBackToWhatWasBelievedWhenTheyBegan() {
-		this.beliefs.of(this.target);
-		this.beliefs.change(this.target, (b) -> b.held(700));
-		this.beliefs.forget(this.target);
-		assertThat(this.beliefs.of(this.target).ownTokens()).isEqualTo(700);
-		this.beliefs.change(this.target, (b) -> b.held(-700));
-		assertThat(this.beliefs.of(this.target).ownTokens()).isEqualTo(0);
+	void releasedCopyMemoryIsSubtractedFromTheStateThatReservedIt() {
+		this.estimates.of(this.target);
+		this.estimates.change(this.target, (b) -> b.held(700));
+		this.estimates.forget(this.target);
+		assertThat(this.estimates.of(this.target).ownTokens()).isEqualTo(700);
+		this.estimates.change(this.target, (b) -> b.held(-700));
+		assertThat(this.estimates.of(this.target).ownTokens()).isEqualTo(0);
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -38,31 +38,32 @@
 
 	private static final Scope SCOPE = new Scope("llm", AllowedRegions.any(), Set.of());
 
-	private final Evacuations evacuations = new Evacuations(new NoEvacuations());
+	private final Evacuations evacuations = new Evacuations(new NoOpEvacuationListener());
 
-	private final TargetDirectory directory = new TargetDirectory(new Nobody(), this.evacuations, new Timers());
+	private final TargetDirectory directory = new TargetDirectory(new NoOpDirectoryListener(), this.evacuations,
+			new Timers());
 
 	private Map<String, WorkAtTarget> work = Map.of();
 
-	private final TargetBeliefs beliefs = new TargetBeliefs((run) -> Optional.ofNullable(this.work.get(run.id())),
+	private final TargetBeliefs estimates = new TargetBeliefs((run) -> Optional.ofNullable(this.work.get(run.id())),
 			new SplittableRandom(2));
 
-	private final TargetChooser chooser = new TargetChooser(new Eligibility(this.directory, this.beliefs,
-			new ColdTargets(new ColdBound(1, 0), new Alone(), (s) -> 0, (e) -> {
+	private final TargetChooser chooser = new TargetChooser(new Eligibility(this.directory, this.estimates,
+			new ColdTargets(new ColdBound(1, 0), new SingleEntry(), (s) -> 0, (e) -> {
 			}), new TargetsInNeed(new TargetLimits((s, t) -> 1, (t) -> 0), (t) -> {
 			}, (e) -> {
-			}), Map.of()), this.beliefs, "here", new SplittableRandom(1), Mechanisms.all());
+			}), Map.of()), this.estimates, "here", new SplittableRandom(1), Mechanisms.all());
 
 	@Test
-	void takesAnEmptyEngineElsewhereWhereTheOwnDataCentreHasFew() {
+	void choosesEmptyRemoteEngineWhenLocalDataCentreHasFew() {
 		join("near", "here");
 		join("far", "there");
-		hold("near", 9_000);
+		reserveMemory("near", 9_000);
 		assertThat(choose()).isEqualTo("far");
 	}
 
 	@Test
-	void staysInTheOwnDataCentreWhereThatIsAboutAsFree() {
+	void prefersLocalDataCentreAtSimilarUtilization() {
 		for (String id : List.of("near", "n2", "n3", "n4")) {
 			join(id, "here");
 		}
@@ -75,7 +76,7 @@
 	}
 
 	@Test
-	void leavesTheOwnDataCentreWhereItsEnginesHaveAPromptToReadFirst() {
+	void choosesRemoteEngineWhenLocalEnginesHaveUnreadPrompts() {
 		Map<String, WorkAtTarget> held = new HashMap<>();
 		for (String id : List.of("near", "n2", "n3", "n4")) {
 			join(id, "here");
@@ -90,11 +91,11 @@
 	}
 
 	/**
-	 * Of 20 processes that choose at the same time all chose the one engine that was the
-	 * emptiest by a little; 12 of them meet at one at the most since they are spread.
+	 * Guards against concurrent choices that all select the engine with slightly more
+	 * free memory.
 	 */
 	@Test
-	void processesThatChooseAtTheSameTimeAreSpreadOverEnginesThatAreAboutAsFree() {
+	void concurrentChoicesAreSpreadOverSimilarEngines() {
 		for (int i = 0; i < 8; i++) {
 			join("n" + i, "here");
 		}
@@ -108,7 +109,7 @@
 	}
 
 	@Test
-	void leavesTheOwnDataCentreWhereItsEnginesAreFull() {
+	void choosesRemoteEngineWhenLocalEnginesAreFull() {
 		join("near", "here");
 		join("n2", "here");
 		join("n3", "here");
@@ -120,11 +121,10 @@
 	}
 
 	/**
-	 * All of 24 engines that left together chose the one empty engine of 28 before; 4 of
-	 * them at the most meet at one since the copies are spread.
+	 * Guards against engines that drain together and all copy to the single empty engine.
 	 */
 	@Test
-	void copiesOfEnginesThatLeaveTogetherAreSpread() {
+	void copiesFromEnginesDrainingTogetherAreSpread() {
 		Map<String, WorkAtTarget> held = new HashMap<>();
 		for (int i = 0; i < 27; i++) {
 			join("i" + i, "here");
@@ -141,7 +141,7 @@
 	}
 
 	@Test
-	void aCopyGoesWhereItHasRoom() {
+	void copyDestinationHasEnoughMemory() {
 		join("full", "here");
 		join("empty", "here");
 		this.work = Map.of("full", held("full", 32_000));
@@ -164,7 +164,7 @@
 			.put(new ListedTarget(id, "llm", "10.0.0." + (this.directory.size() + 1), 80, dataCentre, 64, false));
 	}
 
-	private void hold(String id, long tokens) {
+	private void reserveMemory(String id, long tokens) {
 		this.work = Map.of(id, held(id, tokens));
 	}
 
@@ -172,7 +172,7 @@
 		return new WorkAtTarget(TargetRun.of(id), 1, tokens, 0, 0, false, 0, false);
 	}
 
-	private static final class Alone implements EntryRanks {
+	private static final class SingleEntry implements EntryRanks {
 
 		@Override
 		public int entries() {
@@ -186,40 +186,40 @@
 
 	}
 
-	private static final class Nobody implements DirectoryListener {
+	private static final class NoOpDirectoryListener implements DirectoryListener {
 
 		@Override
 		public void listed(ListedTarget target) {
-			// Not looked at.
+			// Ignored.
 		}
 
 		@Override
 		public void joined(ListedTarget target) {
-			// Not looked at.
+			// Ignored.
 		}
 
 		@Override
 		public void leaving(ListedTarget target, LeavingCause cause) {
-			// Not looked at.
+			// Ignored.
 		}
 
 		@Override
 		public void gone(ListedTarget target) {
-			// Not looked at.
+			// Ignored.
 		}
 
 	}
 
-	private static final class NoEvacuations implements EvacuationListener {
+	private static final class NoOpEvacuationListener implements EvacuationListener {
 
 		@Override
 		public void evacuated(String dataCentre) {
-			// Not looked at.
+			// Ignored.
 		}
 
 		@Override
 		public void takenBack(String dataCentre) {
-			// Not looked at.
+			// Ignored.
 		}
 
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetQualityTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetQualityTests.java
@@ -10,19 +10,19 @@
 class TargetQualityTests {
 
 	@Test
-	void aTargetThatFailsPartOfItsRequestsIsSetAside() {
+	void targetThatFailsSomeRequestsIsEjected() {
 		TargetQuality quality = new TargetQuality();
-		boolean aside = false;
+		boolean ejected = false;
 		for (int i = 0; i < 10; i++) {
 			quality.recordGood(50, i * 100);
-			aside |= quality.recordBad(0.05, i * 100 + 50);
+			ejected |= quality.recordBad(0.05, i * 100 + 50);
 		}
-		assertThat(aside).isTrue();
+		assertThat(ejected).isTrue();
 		assertThat(quality.isUsable(1_000)).isFalse();
 	}
 
 	@Test
-	void aTargetNoWorseThanItsPeersStays() {
+	void targetNoWorseThanItsPeersIsNotEjected() {
 		TargetQuality quality = new TargetQuality();
 		for (int i = 0; i < 20; i++) {
 			quality.recordGood(50, i * 100);
@@ -31,7 +31,7 @@
 	}
 
 	@Test
-	void oneTrialDecidesOnItsReturn() {
+	void singleProbeDecidesOnReturn() {
 		TargetQuality quality = new TargetQuality();
 		quality.recordBad(0, 0);
 		quality.recordBad(0, 0);
@@ -47,7 +47,7 @@
 	}
 
 	@Test
-	void failuresFade() {
+	void failuresDecay() {
 		TargetQuality quality = new TargetQuality();
 		quality.recordBad(0, 0);
 		assertThat(quality.recordBad(0, 60_000)).isFalse();
