--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -72,7 +72,7 @@
 	void moveFromEngine(DirectCall call, long now) {
 		Optional<EngineSpec> engine = this.engines.apply(call);
 		if (engine.isEmpty() || call.successor().isPresent()
-				|| (call.isStreaming() && resumeAtBackup(call, "its engine is draining", now))) {
+				|| (call.isStreaming() && resumeAtBackup(call, "its engine is leaving", now))) {
 			return;
 		}
 		startCopy(call, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -108,7 +108,7 @@
 	 */
 	Optional<String> findRejection(ListedTarget target, long now) {
 		if (!acceptsNew(target)) {
-			return Optional.of("the target is draining or evacuated");
+			return Optional.of("the target is leaving or evacuated");
 		}
 		return this.needs.isResting(target, now) ? Optional.of("the target requested a backoff period")
 				: Optional.empty();
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -271,7 +271,7 @@
 			.isPresent();
 		if (isUnusable) {
 			record(call, call.standby().get().destination(),
-					"standby copy released: its engine is draining, evacuated, unreachable or short of memory");
+					"standby copy released: its engine is leaving, evacuated, unreachable or short of memory");
 			drop(call);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -587,7 +587,7 @@
 	private long beginCall(long answerDue, long now) {
 		return this.call.begin(answerDue, this.settings.answerMillis(), (t) -> {
 			this.outputs.abandon();
-			failed(this.call.number(), "no answer within its time", t);
+			failed(this.call.number(), "no answer before the timeout", t);
 		}, now);
 	}
 
