--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Admission.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/AdmissionController.java
@@ -16,21 +16,22 @@
 import dev.laneworks.core.verdict.RefusalReason;
 
 /**
- * Decides which generations hold a place at the target, and which one yields.
+ * Admission control of one target: limits the running generations by number and memory,
+ * and selects the one to preempt when memory is nearly full.
  */
-final class Admission {
+final class AdmissionController {
 
 	/**
-	 * How far below the mark at which somebody yields admission stops, as a share of the
-	 * memory; a chosen figure.
+	 * Distance between the memory limits for preemption and for admission, as a share of
+	 * the memory. Keeps a generation from being preempted and resumed repeatedly.
 	 */
-	private static final double YIELD_MARGIN = 0.05;
+	private static final double PREEMPTION_MARGIN = 0.05;
 
-	/** How long a forecast is used while only tokens came since. */
-	private static final long FORECAST_MILLIS = 50;
+	/** Maximum age of a forecast while no running generation is removed. */
+	private static final long FORECAST_MAX_AGE_MILLIS = 50;
 
-	private static final Comparator<Generation> FIRST_TO_YIELD = Comparator.comparingInt(Generation::priority)
-		.thenComparingLong(Generation::heldTokens);
+	private static final Comparator<Generation> PREEMPTION_ORDER = Comparator.comparingInt(Generation::priority)
+		.thenComparingLong(Generation::occupiedTokens);
 
 	private final HostSettings settings;
 
@@ -38,7 +39,7 @@
 
 	private final AdmissionQueue<Generation> queue;
 
-	private final WaitEstimate waits = new WaitEstimate();
+	private final WaitEstimate waitEstimate = new WaitEstimate();
 
 	private final Set<Generation> running = new LinkedHashSet<>();
 
@@ -48,15 +49,15 @@
 
 	private long forecastAt;
 
-	Admission(HostSettings settings, LengthModel lengths) {
+	AdmissionController(HostSettings settings, LengthModel lengths) {
 		this.settings = settings;
 		this.forecast = new MemoryForecast(lengths, settings.deviations());
 		this.queue = new AdmissionQueue<>(settings.ageingMillis());
 	}
 
-	// Return why a request can't wait here, if it can't.
-	Optional<Refusal> refusal(Work work, long now) {
-		if (watchesMemory() && work.promptTokens() >= this.settings.capacityTokens()) {
+	// Return the refusal of a request that cannot be queued here, if any.
+	Optional<Refusal> findRefusal(Work work, long now) {
+		if (limitsMemory() && work.promptTokens() >= this.settings.capacityTokens()) {
 			return Optional
 				.of(Refusal.never(RefusalReason.BAD_REQUEST, "the prompt is larger than the engine's memory"));
 		}
@@ -65,45 +66,44 @@
 				.of(Refusal.notRun(RefusalReason.OVERLOADED, "the queue is full", retryAfter(work.priority(), now)));
 		}
 		int ahead = this.queue.ahead(work.priority());
-		if (ahead > 0 && this.waits.waitMillis(ahead, now) > work.patienceMillis()) {
+		if (ahead > 0 && this.waitEstimate.waitMillis(ahead, now) > work.patienceMillis()) {
 			return Optional.of(Refusal.notRun(RefusalReason.WAIT_TOO_LONG,
-					"the wait would outlast the caller's patience", retryAfter(work.priority(), now)));
+					"the estimated wait exceeds the caller's timeout", retryAfter(work.priority(), now)));
 		}
 		return Optional.empty();
 	}
 
-	// Return when a refused request of a priority may find a place.
+	// Return the estimated wait until a request of this priority gets a slot.
 	Duration retryAfter(int priority, long now) {
-		long wait = this.waits.waitMillis(this.queue.ahead(priority), now);
-		return Duration.ofMillis(Math.max(HostRefusals.LEAST_RETRY_MILLIS, wait));
+		long wait = this.waitEstimate.waitMillis(this.queue.ahead(priority), now);
+		return Duration.ofMillis(Math.max(HostRefusals.MIN_RETRY_MILLIS, wait));
 	}
 
 	void enqueue(Generation generation) {
 		this.queue.add(generation);
 	}
 
-	// Put a running generation back in the queue.
 	void requeue(Generation generation) {
 		removeRunning(generation);
 		this.queue.add(generation);
 	}
 
-	// Take the next request whose memory fits.
-	Optional<Generation> next(long now) {
+	// Move the head of the queue to the running generations, if it fits.
+	Optional<Generation> pollAdmissible(long now) {
 		Optional<Generation> head = this.queue.peek(now);
 		if (head.isEmpty() || this.running.size() >= this.settings.maxRunning() || !fits(head.get(), now)) {
 			return Optional.empty();
 		}
 		Generation generation = head.get();
 		this.queue.remove(generation);
-		this.waits.recordAdmitted(now, this.queue.size() > 0);
+		this.waitEstimate.recordAdmitted(now, this.queue.size() > 0);
 		addRunning(generation);
 		return head;
 	}
 
 	void addRunning(Generation generation) {
 		this.running.add(generation);
-		this.usedTokens += generation.heldTokens();
+		this.usedTokens += generation.occupiedTokens();
 		this.forecast.add(generation);
 		this.queue.recordServed(generation.account(), generation.weight(), generation.promptTokens());
 	}
@@ -115,20 +115,20 @@
 		this.queue.recordServed(generation.account(), generation.weight(), 1);
 	}
 
-	// Forget a generation, be it waiting or running.
+	// Remove a queued or running generation.
 	void remove(Generation generation) {
 		if (!this.queue.remove(generation)) {
 			removeRunning(generation);
 		}
 	}
 
-	// Choose the generation that yields, if memory is nearly full.
-	Optional<Generation> victim() {
-		if (!watchesMemory() || this.running.size() < 2
+	// Select the generation to preempt if memory is nearly full.
+	Optional<Generation> findPreemptionVictim() {
+		if (!limitsMemory() || this.running.size() < 2
 				|| this.usedTokens <= this.settings.highWater() * this.settings.capacityTokens()) {
 			return Optional.empty();
 		}
-		return this.running.stream().min(FIRST_TO_YIELD);
+		return this.running.stream().min(PREEMPTION_ORDER);
 	}
 
 	int runningCount() {
@@ -144,18 +144,16 @@
 	}
 
 	private boolean fits(Generation candidate, long now) {
-		if (!watchesMemory() || this.running.isEmpty()) {
+		if (!limitsMemory() || this.running.isEmpty()) {
 			return true;
 		}
-		if (this.forecastStale || now - this.forecastAt >= FORECAST_MILLIS) {
+		if (this.forecastStale || now - this.forecastAt >= FORECAST_MAX_AGE_MILLIS) {
 			this.forecast.refresh(this.running);
 			this.forecastStale = false;
 			this.forecastAt = now;
 		}
-		// Below the mark at which somebody yields, or a generation would yield and go on
-		// in turns.
-		double mark = (this.settings.highWater() - YIELD_MARGIN) * this.settings.capacityTokens();
-		return this.usedTokens + candidate.heldTokens() <= mark
+		double admissionLimit = (this.settings.highWater() - PREEMPTION_MARGIN) * this.settings.capacityTokens();
+		return this.usedTokens + candidate.occupiedTokens() <= admissionLimit
 				&& this.forecast.fits(candidate, this.settings.capacityTokens());
 	}
 
@@ -163,7 +161,7 @@
 		if (!this.running.remove(generation)) {
 			return;
 		}
-		this.usedTokens -= generation.heldTokens();
+		this.usedTokens -= generation.occupiedTokens();
 		this.forecastStale = true;
 		if (this.queue.size() == 0) {
 			Set<String> accounts = new HashSet<>();
@@ -172,7 +170,7 @@
 		}
 	}
 
-	private boolean watchesMemory() {
+	private boolean limitsMemory() {
 		return this.settings.capacityTokens() > 0;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Generation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Generation.java
@@ -14,7 +14,7 @@
 import dev.laneworks.core.verdict.Refusal;
 
 /**
- * One generation and its output, as a sidecar holds it.
+ * State of one generation at a sidecar, with its output.
  */
 final class Generation implements MemoryUser, QueueEntry {
 
@@ -30,7 +30,7 @@
 
 	private final ChunkLog log = new ChunkLog();
 
-	private final Set<String> homesToAsk = new HashSet<>();
+	private final Set<String> pendingHomes = new HashSet<>();
 
 	private GenerationState state;
 
@@ -42,9 +42,9 @@
 
 	private Refusal refusal;
 
-	private Refusal answerIfUnknown;
+	private Refusal refusalIfUnknown;
 
-	private long overAt;
+	private long finishedAt;
 
 	private long deadline;
 
@@ -67,8 +67,8 @@
 		this.deadline = now + work.patienceMillis();
 	}
 
-	// Create a generation that an earlier sidecar started and this one knows by name
-	// only.
+	// Create a generation that an earlier sidecar process started, of which only the
+	// name is known.
 	static Generation adopted(String name, long now) {
 		Work work = new Work(name, WorkKind.COMPLETION, "", "", "", "", new byte[0], 0, false, Optional.empty(), 0,
 				Integer.MAX_VALUE, 0);
@@ -93,7 +93,7 @@
 		return this.state;
 	}
 
-	void enter(GenerationState next) {
+	void transitionTo(GenerationState next) {
 		this.state = next;
 		if (next == GenerationState.RUNNING) {
 			this.startedAtTarget = true;
@@ -120,11 +120,11 @@
 		return Optional.ofNullable(this.reader);
 	}
 
-	void readBy(Reader newReader) {
+	void setReader(Reader newReader) {
 		this.reader = newReader;
 	}
 
-	void loseReader(long now) {
+	void removeReader(long now) {
 		this.reader = null;
 		this.readerLostAt = now;
 	}
@@ -136,13 +136,13 @@
 	void end(FinishReason reason, long now) {
 		this.state = GenerationState.ENDED;
 		this.finishReason = reason;
-		this.overAt = now;
+		this.finishedAt = now;
 	}
 
 	void fail(Refusal finalAnswer, long now) {
 		this.state = GenerationState.FAILED;
 		this.refusal = finalAnswer;
-		this.overAt = now;
+		this.finishedAt = now;
 	}
 
 	FinishReason finishReason() {
@@ -153,17 +153,17 @@
 		return this.refusal;
 	}
 
-	// Return since when it is over and nobody reads it.
+	// Return the time since which the generation is finished and has no reader.
 	long idleSince() {
-		return Math.max(this.overAt, this.readerLostAt);
+		return Math.max(this.finishedAt, this.readerLostAt);
 	}
 
-	Refusal answerIfUnknown() {
-		return this.answerIfUnknown;
+	Refusal refusalIfUnknown() {
+		return this.refusalIfUnknown;
 	}
 
-	void answerIfUnknown(Refusal answer) {
-		this.answerIfUnknown = answer;
+	void setRefusalIfUnknown(Refusal answer) {
+		this.refusalIfUnknown = answer;
 	}
 
 	long deadline() {
@@ -174,11 +174,10 @@
 		this.deadline = at;
 	}
 
-	Set<String> homesToAsk() {
-		return this.homesToAsk;
+	Set<String> pendingHomes() {
+		return this.pendingHomes;
 	}
 
-	// Return whether the target was lost and is to be asked again.
 	boolean isReattaching() {
 		return this.reattachUntil != 0;
 	}
@@ -199,12 +198,12 @@
 		return this.reattachUntil;
 	}
 
-	// Return when the target is to be asked again, or 0 while an answer is awaited.
+	// Return the time of the next reattach request, or 0 while an answer is pending.
 	long reattachAt() {
 		return this.reattachAt;
 	}
 
-	void reattachSent() {
+	void recordReattachSent() {
 		this.reattachAt = 0;
 	}
 
@@ -248,8 +247,9 @@
 		return this.queuedAt;
 	}
 
-	// Return the tokens that the generation holds in the target's memory while it runs.
-	long heldTokens() {
+	// Return the tokens that the generation occupies in the target's memory while it
+	// runs.
+	long occupiedTokens() {
 		return (long) promptTokens() + outputTokens();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -16,33 +16,33 @@
 import dev.laneworks.core.verdict.RefusalReason;
 
 /**
- * Owns the generations at one target: takes requests on, hands them to the target and
- * delivers their output.
+ * Manages the generations of one target: accepts requests, forwards them to the target
+ * and delivers their output.
  * <p>
- * A request has run once {@link HostOutputs#start} was called for it; until then every
- * refusal says {@code not run}. Each generation has one name, one log of output and at
- * most one reader. All inputs carry the time in milliseconds, which must not fall. Not
- * thread-safe.
+ * A request counts as run once {@link HostOutputs#start} was called for it; refusals
+ * before that have the verdict {@code not run}. Each generation has a unique name, one
+ * output log and at most one reader. All inputs carry a monotonic time in milliseconds.
+ * Not thread-safe.
  *
  * @since 0.1
  */
 public final class GenerationHost {
 
-	private final HostParts parts;
+	private final HostContext context;
 
-	private final Arrivals arrivals;
+	private final RequestAcceptor acceptor;
 
-	private final Bars bars;
+	private final Revoker revoker;
 
-	private final KeyedRequests keyed;
+	private final KeyedRequests keyedRequests;
 
-	private final TargetAnswers answers;
+	private final TargetOutputHandler outputHandler;
 
 	private final Refuser refuser;
 
-	private final Places places;
+	private final SlotAllocator slots;
 
-	private final Endings endings;
+	private final GenerationTerminator terminator;
 
 	private boolean ended;
 
@@ -51,190 +51,191 @@
 	/**
 	 * Create a host without generations.
 	 * @param target the name of the target
-	 * @param incarnation the sidecar's incarnation, different for each process
-	 * @param settings bounds and times
-	 * @param keyGuard decides on keyed requests
-	 * @param ledger the configuration in force
-	 * @param lengths learns how long outputs are
-	 * @param outputs what the host asks of the world
-	 * @param audit takes audit events
-	 * @param now the time in milliseconds
+	 * @param incarnation the incarnation of the sidecar, unique for each process
+	 * @param settings the limits and timeouts
+	 * @param keyGuard the rules for keyed requests
+	 * @param ledger the current configuration
+	 * @param lengths the model of output lengths, updated with each finished output
+	 * @param outputs the operations on entries, the target and other sidecars
+	 * @param audit the receiver of audit events
+	 * @param now the current time in milliseconds
 	 */
 	public GenerationHost(String target, long incarnation, HostSettings settings, KeyGuard keyGuard,
 			ConfigurationLedger ledger, LengthModel lengths, HostOutputs outputs, AuditSink audit, long now) {
-		this.parts = new HostParts(settings, ledger, outputs, new HostAudit(target, audit), new HostCounters(),
-				new HeldGenerations(ledger), new Delivery(outputs), new Admission(settings, lengths));
-		this.refuser = new Refuser(this.parts);
-		this.places = new Places(this.parts, keyGuard, this.refuser);
-		this.endings = new Endings(this.parts, this.refuser, this.places);
-		this.answers = new TargetAnswers(this.parts, lengths, this.refuser, this.places, this.endings);
-		this.keyed = new KeyedRequests(this.parts, keyGuard, this.refuser, this.places);
-		this.arrivals = new Arrivals(this.parts, incarnation, this.refuser, this.places, this.keyed, this.answers);
-		this.bars = new Bars(this.parts, incarnation, keyGuard, this.refuser);
+		this.context = new HostContext(settings, ledger, outputs, new HostAudit(target, audit), new HostCounters(),
+				new GenerationRegistry(ledger), new Delivery(outputs), new AdmissionController(settings, lengths));
+		this.refuser = new Refuser(this.context);
+		this.slots = new SlotAllocator(this.context, keyGuard, this.refuser);
+		this.terminator = new GenerationTerminator(this.context, this.refuser, this.slots);
+		this.outputHandler = new TargetOutputHandler(this.context, lengths, this.refuser, this.slots, this.terminator);
+		this.keyedRequests = new KeyedRequests(this.context, keyGuard, this.refuser, this.slots);
+		this.acceptor = new RequestAcceptor(this.context, incarnation, this.refuser, this.slots, this.keyedRequests,
+				this.outputHandler);
+		this.revoker = new Revoker(this.context, incarnation, keyGuard, this.refuser);
 		this.lastInputAt = now;
 	}
 
 	/**
 	 * Handle a message from an entry.
-	 * @param link the link it came by
+	 * @param link the id of the link that delivered it
 	 * @param message the message
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void onMessage(long link, EntryMessage message, long now) {
 		if (this.ended) {
 			return;
 		}
-		noticePause(now);
+		detectPause(now);
 		if (message instanceof EntryMessage.Submit submit) {
-			this.arrivals.submit(link, submit, now);
+			this.acceptor.submit(link, submit, now);
 		}
 		else if (message instanceof EntryMessage.Attach attach) {
-			this.arrivals.attach(link, attach, now);
+			this.acceptor.attach(link, attach, now);
 		}
 		else if (message instanceof EntryMessage.Bar bar) {
-			this.bars.barAttempt(link, bar, now);
+			this.revoker.revokeAttempt(link, bar, now);
 		}
 		else if (message instanceof EntryMessage.Release release) {
-			this.parts.delivery()
+			this.context.delivery()
 				.find(link, release.stream())
-				.ifPresent((g) -> this.endings.release(g, release.mayReturn(), now));
+				.ifPresent((g) -> this.terminator.release(g, release.mayReturn(), now));
 		}
 		else if (message instanceof EntryMessage.Credit credit) {
-			this.parts.delivery()
+			this.context.delivery()
 				.find(link, credit.stream())
-				.ifPresent((g) -> this.parts.delivery().allow(g, credit.creditLimit(), now));
+				.ifPresent((g) -> this.context.delivery().grantCredit(g, credit.creditLimit(), now));
 		}
 		else if (message instanceof EntryMessage.Probe) {
-			this.parts.outputs().send(link, new SidecarMessage.Load(load()));
+			this.context.outputs().send(link, new SidecarMessage.Load(load()));
 		}
 		else if (message instanceof EntryMessage.BarKey barKey) {
-			BarOutcome outcome = this.bars.barKey(barKey.key(), now);
-			this.parts.outputs().send(link, new SidecarMessage.KeyBarResult(barKey.key(), outcome));
+			BarOutcome outcome = this.revoker.revokeKey(barKey.key(), now);
+			this.context.outputs().send(link, new SidecarMessage.KeyBarResult(barKey.key(), outcome));
 		}
 	}
 
 	/**
-	 * Handle the loss of a link: its readers may come back by another.
-	 * @param link the link
-	 * @param now the time in milliseconds
+	 * Handle the loss of a link. Its readers may reconnect over another link.
+	 * @param link the id of the link
+	 * @param now the current time in milliseconds
 	 */
 	public void onLinkLost(long link, long now) {
-		noticePause(now);
-		for (Generation generation : this.parts.held().all()) {
+		detectPause(now);
+		for (Generation generation : this.context.registry().all()) {
 			if (generation.reader().filter((r) -> r.link() == link).isPresent()) {
-				this.parts.delivery().lose(generation, now);
+				this.context.delivery().detachReader(generation, now);
 			}
 		}
 	}
 
 	/**
-	 * Handle a piece of output from the target.
+	 * Handle a chunk of output from the target.
 	 * @param name the generation's name
-	 * @param offset the number of pieces before it
-	 * @param data the output
-	 * @param now the time in milliseconds
+	 * @param offset the number of chunks before it
+	 * @param data the content of the chunk
+	 * @param now the current time in milliseconds
 	 */
 	public void onTargetChunk(String name, long offset, byte[] data, long now) {
-		this.parts.held().findUnderWay(name).ifPresent((g) -> this.answers.chunk(g, offset, data, now));
+		this.context.registry().findActive(name).ifPresent((g) -> this.outputHandler.handleChunk(g, offset, data, now));
 	}
 
 	/**
 	 * Handle the end of a generation at the target.
 	 * @param name the generation's name
-	 * @param total the number of pieces of its whole output
-	 * @param reason why it ended
-	 * @param now the time in milliseconds
+	 * @param total the number of chunks of the complete output
+	 * @param reason why the generation ended
+	 * @param now the current time in milliseconds
 	 */
 	public void onTargetEnd(String name, long total, FinishReason reason, long now) {
-		this.parts.held().findUnderWay(name).ifPresent((g) -> this.answers.end(g, total, reason, now));
+		this.context.registry().findActive(name).ifPresent((g) -> this.outputHandler.handleEnd(g, total, reason, now));
 	}
 
 	/**
 	 * Handle the loss of a generation's output.
 	 * @param name the generation's name
-	 * @param loss how it was lost
-	 * @param now the time in milliseconds
+	 * @param loss the kind of failure
+	 * @param now the current time in milliseconds
 	 */
 	public void onTargetLost(String name, TargetLoss loss, long now) {
-		this.parts.held().findUnderWay(name).ifPresent((g) -> this.answers.lost(g, loss, now));
+		this.context.registry().findActive(name).ifPresent((g) -> this.outputHandler.handleLoss(g, loss, now));
 	}
 
 	/**
-	 * Handle the target's answer about a keyed request of an earlier sidecar.
+	 * Handle the target's answer to a lookup of a generation that an earlier sidecar
+	 * process may have started.
 	 * @param name the generation's name
-	 * @param found whether the target holds the generation
-	 * @param now the time in milliseconds
+	 * @param found {@code true} if the target holds the generation
+	 * @param now the current time in milliseconds
 	 */
 	public void onLookUp(String name, boolean found, long now) {
-		this.parts.held().findAsking(name).ifPresent((g) -> this.answers.lookedUp(g, found, now));
+		this.context.registry().findAsking(name).ifPresent((g) -> this.outputHandler.handleLookUp(g, found, now));
 	}
 
 	/**
-	 * Handle a former home's answer about a key.
+	 * Handle a former home's answer to the request to revoke a key.
 	 * @param home the name of the former home
 	 * @param key the key
-	 * @param outcome whether the key can still run there
-	 * @param now the time in milliseconds
+	 * @param outcome whether the key was revoked or has run there
+	 * @param now the current time in milliseconds
 	 */
 	public void onHomeAnswer(String home, OnceKey key, BarOutcome outcome, long now) {
-		this.parts.held()
+		this.context.registry()
 			.findAsking(key.generationName())
-			.ifPresent((g) -> this.keyed.homeAnswered(g, home, outcome, now));
+			.ifPresent((g) -> this.keyedRequests.handleHomeAnswer(g, home, outcome, now));
 	}
 
 	/**
-	 * Start to leave: take no new work, send queued work back and go on with what runs.
-	 * @param cause why the target leaves
-	 * @param now the time in milliseconds
+	 * Start draining: reject new and queued requests and continue running generations.
+	 * @param cause the reason for the audit log
+	 * @param now the current time in milliseconds
 	 */
 	public void leave(String cause, long now) {
-		if (this.arrivals.isClosed()) {
+		if (this.acceptor.isClosed()) {
 			return;
 		}
-		this.arrivals.close();
-		this.parts.audit().record(AuditKind.LEAVING, cause);
-		this.refuser.refuseAllBeforeRun(HostRefusals.leaving(), now);
+		this.acceptor.close();
+		this.context.audit().record(AuditKind.LEAVING, cause);
+		this.refuser.refuseAllBeforeExecution(HostRefusals.draining(), now);
 	}
 
 	/**
-	 * Do what is due.
-	 * @param now the time in milliseconds
+	 * Run the periodic work: expire names, enforce timeouts, preempt and admit.
+	 * @param now the current time in milliseconds
 	 */
 	public void tick(long now) {
-		noticePause(now);
-		this.parts.held().expireNames(now);
-		for (Generation generation : this.parts.held().copyOfAll()) {
+		detectPause(now);
+		this.context.registry().expireNames(now);
+		for (Generation generation : this.context.registry().copyOfAll()) {
 			tick(generation, now);
 		}
-		this.places.yieldMemory();
-		this.places.admit(now);
+		this.slots.preemptForMemory();
+		this.slots.admit(now);
 	}
 
 	/**
-	 * Return whether nothing is under way and no output waits for a reader that may still
-	 * come back.
-	 * @param now the time in milliseconds
-	 * @return {@code true} if the process may end
+	 * Determine whether no generation is active and no output is held for a reader that
+	 * may reconnect.
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if the process may exit
 	 */
 	public boolean isIdle(long now) {
-		return this.parts.held()
+		return this.context.registry()
 			.all()
 			.stream()
-			.allMatch((g) -> g.state().isOver() && g.reader().isEmpty()
-					&& (g.isDelivered() || now - g.idleSince() >= this.parts.settings().holdMillis()));
+			.allMatch((g) -> g.state().isFinished() && g.reader().isEmpty()
+					&& (g.isDelivered() || now - g.idleSince() >= this.context.settings().holdMillis()));
 	}
 
 	/**
-	 * End for good: no message that comes after this is read.
-	 * <p>
-	 * To be followed by {@link SidecarMessage.Farewell} on every link.
+	 * Stop handling messages. The caller then sends {@link SidecarMessage.Farewell} on
+	 * every link.
 	 */
 	public void end() {
 		this.ended = true;
 	}
 
 	/**
-	 * Return whether no message is read any more.
+	 * Determine whether messages are no longer handled.
 	 * @return {@code true} after {@link #end}
 	 */
 	public boolean isEnded() {
@@ -242,63 +243,67 @@
 	}
 
 	/**
-	 * Return whether the target takes no new work.
+	 * Determine whether the target is draining.
 	 * @return {@code true} after {@link #leave}
 	 */
 	public boolean isLeaving() {
-		return this.arrivals.isClosed();
+		return this.acceptor.isClosed();
 	}
 
 	/**
-	 * Return the load.
-	 * @return a report
+	 * Return the current load of the target.
+	 * @return a report with running and queued requests and used memory
 	 */
 	public LoadReport load() {
-		Admission admission = this.parts.admission();
+		AdmissionController admission = this.context.admission();
 		return new LoadReport(admission.runningCount(), admission.queuedCount(), admission.usedTokens(),
-				this.parts.settings().capacityTokens(), isLeaving());
+				this.context.settings().capacityTokens(), isLeaving());
 	}
 
 	/**
-	 * Return the counters.
-	 * @return the counters, readable from any thread
+	 * Return the counters of this host.
+	 * @return the counters, which may be read from any thread
 	 */
 	public HostCounters counters() {
-		return this.parts.counters();
+		return this.context.counters();
 	}
 
 	/**
-	 * Return a line for each generation held, for operators.
-	 * @return at most a few hundred lines
+	 * Return the status of the held generations for operators.
+	 * @return the oldest generations, up to a fixed number
 	 */
 	public List<GenerationStatus> status() {
-		return this.parts.held().all().stream().limit(GenerationStatus.MOST_SHOWN).map(GenerationStatus::of).toList();
+		return this.context.registry()
+			.all()
+			.stream()
+			.limit(GenerationStatus.MAX_SHOWN)
+			.map(GenerationStatus::of)
+			.toList();
 	}
 
 	private void tick(Generation generation, long now) {
 		switch (generation.state()) {
-			case ASKING -> this.keyed.refuseIfUnanswered(generation, now);
-			case QUEUED -> this.endings.endOverdueQueued(generation, now);
+			case ASKING -> this.keyedRequests.refuseIfUnanswered(generation, now);
+			case QUEUED -> this.terminator.endQueuedIfExpired(generation, now);
 			case RUNNING, PAUSED -> {
-				if (!this.endings.endOrphanedStarted(generation, now)) {
-					this.answers.askAgainIfDue(generation, now);
+				if (!this.terminator.endStartedIfOrphaned(generation, now)) {
+					this.outputHandler.retryReattachIfDue(generation, now);
 				}
 			}
-			case ENDED, FAILED -> this.endings.forgetIfHeldLongEnough(generation, now);
+			case ENDED, FAILED -> this.terminator.discardIfExpired(generation, now);
 		}
 	}
 
-	private void noticePause(long now) {
+	private void detectPause(long now) {
 		long gap = now - this.lastInputAt;
 		this.lastInputAt = now;
-		if (gap < this.parts.settings().pauseMillis()) {
+		if (gap < this.context.settings().pauseMillis()) {
 			return;
 		}
-		this.parts.counters().pauses().increment();
-		this.parts.audit().record(AuditKind.PAUSED, "no input for " + gap + " ms");
-		this.refuser.refuseAllBeforeRun(
-				HostRefusals.tryElsewhere(RefusalReason.WITHDRAWN, "the sidecar was paused while the request waited"),
-				now);
+		this.context.counters().pauses().increment();
+		this.context.audit().record(AuditKind.PAUSED, "no input for " + gap + " ms");
+		this.refuser.refuseAllBeforeExecution(HostRefusals.retryElsewhere(RefusalReason.WITHDRAWN,
+				"the sidecar process was paused while the request waited"), now);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationState.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationState.java
@@ -1,43 +1,41 @@
 package dev.laneworks.core.host;
 
 /**
- * Where a generation stands at a sidecar.
+ * State of a generation at a sidecar.
  */
 enum GenerationState {
 
-	/** Former homes or the target are asked about its key. */
+	/** Awaits answers of former homes or the target about its key. */
 	ASKING,
 
-	/** It waits for admission and has not run. */
+	/** Waits for admission and has not run. */
 	QUEUED,
 
-	/** It was handed to the target. */
+	/** Runs at the target. */
 	RUNNING,
 
-	/**
-	 * It runs but was set aside by the target at the sidecar's wish, and waits to go on.
-	 */
+	/** Was preempted and waits to resume. */
 	PAUSED,
 
-	/** Its output is whole. */
+	/** Ended with a complete output. */
 	ENDED,
 
-	/** There will be no more of its output. */
+	/** Ended without a complete output. */
 	FAILED;
 
 	/**
-	 * Return whether nothing of it was handed to the target.
-	 * @return {@code true} before it runs
+	 * Determine whether the request was not yet sent to the target.
+	 * @return {@code true} in the states before the execution
 	 */
-	boolean isBeforeRun() {
+	boolean isBeforeExecution() {
 		return this == ASKING || this == QUEUED;
 	}
 
 	/**
-	 * Return whether it is over.
-	 * @return {@code true} once nothing more will come
+	 * Determine whether no more output will arrive.
+	 * @return {@code true} in the final states
 	 */
-	boolean isOver() {
+	boolean isFinished() {
 		return this == ENDED || this == FAILED;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostAudit.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostAudit.java
@@ -7,7 +7,7 @@
 import dev.laneworks.core.verdict.Refusal;
 
 /**
- * Records what a host decides, in the name of its target.
+ * Records the audit events of a host with the name of its target.
  */
 final class HostAudit {
 
@@ -20,7 +20,7 @@
 		this.sink = sink;
 	}
 
-	// Records what befell the target as a whole.
+	// Record an event that concerns the target as a whole.
 	void record(AuditKind kind, String cause) {
 		record(kind, this.target, cause);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostCounters.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostCounters.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what a {@link GenerationHost} did since the start; may be read from any thread.
+ * Counters of a {@link GenerationHost} since its start. May be read from any thread.
  *
  * @since 0.1
  */
@@ -26,64 +26,64 @@
 	private final LongAdder pauses = new LongAdder();
 
 	/**
-	 * Return the requests handed to the target.
-	 * @return the counter
+	 * Return the number of requests started at the target.
+	 * @return the counter of first starts, without resumptions
 	 */
 	public LongAdder admitted() {
 		return this.admitted;
 	}
 
 	/**
-	 * Return the requests refused, and generations that ended early.
-	 * @return the counter
+	 * Return the number of refused requests and failed generations.
+	 * @return the counter of refusals and failures
 	 */
 	public LongAdder refused() {
 		return this.refused;
 	}
 
 	/**
-	 * Return the pieces of output received from the target.
-	 * @return the counter
+	 * Return the number of output chunks received from the target.
+	 * @return the counter of chunks, without duplicates
 	 */
 	public LongAdder tokens() {
 		return this.tokens;
 	}
 
 	/**
-	 * Return the generations set aside to free memory.
-	 * @return the counter
+	 * Return the number of generations preempted to free memory.
+	 * @return the counter of preemptions
 	 */
 	public LongAdder yields() {
 		return this.yields;
 	}
 
 	/**
-	 * Return the generations cancelled for want of a reader.
-	 * @return the counter
+	 * Return the number of generations cancelled because they had no reader.
+	 * @return the counter of cancellations
 	 */
 	public LongAdder cancelled() {
 		return this.cancelled;
 	}
 
 	/**
-	 * Return the pieces of output that came twice and were dropped.
-	 * @return the counter
+	 * Return the number of output chunks that arrived again and were dropped.
+	 * @return the counter of duplicates
 	 */
 	public LongAdder duplicates() {
 		return this.duplicates;
 	}
 
 	/**
-	 * Return the gaps found in a target's output and mended.
-	 * @return the counter
+	 * Return the number of gaps in the output of the target that were requested again.
+	 * @return the counter of gaps
 	 */
 	public LongAdder gaps() {
 		return this.gaps;
 	}
 
 	/**
-	 * Return how often the process was paused.
-	 * @return the counter
+	 * Return the number of detected process pauses.
+	 * @return the counter of pauses
 	 */
 	public LongAdder pauses() {
 		return this.pauses;
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostOutputs.java
@@ -5,32 +5,32 @@
 import dev.laneworks.core.message.Work;
 
 /**
- * What a {@link GenerationHost} asks of the world.
+ * Operations of a {@link GenerationHost} on entries, its target and other sidecars.
  * <p>
- * No method may call back into the host before it returns.
+ * Implementations must not call the host before they return.
  *
  * @since 0.1
  */
 public interface HostOutputs {
 
 	/**
-	 * Send a message to an entry; dropped if the link is down.
-	 * @param link the link
+	 * Send a message to an entry. The message is dropped if the link is down.
+	 * @param link the id of the link
 	 * @param message the message
 	 */
 	void send(long link, SidecarMessage message);
 
 	/**
-	 * Hand a request to the target.
+	 * Start a request at the target.
 	 * @param generation the generation's name
 	 * @param work the request
 	 */
 	void start(String generation, Work work);
 
 	/**
-	 * Ask the target for a generation's output from an offset on.
+	 * Request the output of a generation from the target, starting at an offset.
 	 * @param generation the generation's name
-	 * @param offset the first offset wanted
+	 * @param offset the offset of the first chunk to send
 	 */
 	void reattach(String generation, long offset);
 
@@ -41,13 +41,13 @@
 	void cancel(String generation);
 
 	/**
-	 * Make the target set a generation aside and free its memory.
+	 * Preempt a generation at the target and free its memory.
 	 * @param generation the generation's name
 	 */
 	void pause(String generation);
 
 	/**
-	 * Make the target go on with a generation that was set aside.
+	 * Resume a preempted generation at the target.
 	 * @param generation the generation's name
 	 */
 	void resume(String generation);
@@ -59,8 +59,8 @@
 	void lookUp(String generation);
 
 	/**
-	 * Ask the sidecar of another target to bar a key.
-	 * @param home the target's name
+	 * Ask the sidecar of a former home to revoke a key.
+	 * @param home the name of the former home
 	 * @param key the key
 	 */
 	void askHome(String home, OnceKey key);
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostRefusals.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostRefusals.java
@@ -8,45 +8,41 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * Words the refusals that a host gives in more than one place.
+ * Factory methods for the refusals of a host.
  */
 final class HostRefusals {
 
-	/**
-	 * The least wait told to those who are to come back here, in milliseconds; a chosen
-	 * figure.
-	 */
-	static final long LEAST_RETRY_MILLIS = 500;
+	/** Minimum retry delay for callers that retry at this target. */
+	static final long MIN_RETRY_MILLIS = 500;
 
 	/**
-	 * The wait told to those who are to try another target, in milliseconds; short, since
-	 * that one may have a place at once.
+	 * Retry delay for callers that retry at another target, which may have a free slot.
 	 */
 	private static final long RETRY_ELSEWHERE_MILLIS = 50;
 
 	private HostRefusals() {
 	}
 
-	static Refusal tryElsewhere(RefusalReason reason, String detail) {
+	static Refusal retryElsewhere(RefusalReason reason, String detail) {
 		return Refusal.notRun(reason, detail, Duration.ofMillis(RETRY_ELSEWHERE_MILLIS));
 	}
 
-	static Refusal leaving() {
-		return tryElsewhere(RefusalReason.LEAVING, "the target is leaving");
+	static Refusal draining() {
+		return retryElsewhere(RefusalReason.LEAVING, "the target is draining");
 	}
 
-	static Refusal comeBack(RefusalReason reason, String detail) {
-		return Refusal.notRun(reason, detail, Duration.ofMillis(LEAST_RETRY_MILLIS));
+	static Refusal retryHere(RefusalReason reason, String detail) {
+		return Refusal.notRun(reason, detail, Duration.ofMillis(MIN_RETRY_MILLIS));
 	}
 
-	// It can't be told whether an earlier try with the key ran; the doubt ends when names
-	// are forgotten.
-	static Refusal inDoubt(String detail, long memoryMillis) {
-		return new Refusal(Verdict.MAY_HAVE_RUN, RefusalReason.KEY_IN_DOUBT, "not run this time: " + detail,
-				Optional.of(Duration.ofMillis(memoryMillis)));
+	// The retry delay is the retention of names, after which the outcome of an earlier
+	// request no longer matters.
+	static Refusal keyInDoubt(String detail, long retentionMillis) {
+		return new Refusal(Verdict.MAY_HAVE_RUN, RefusalReason.KEY_IN_DOUBT, "this request did not run: " + detail,
+				Optional.of(Duration.ofMillis(retentionMillis)));
 	}
 
-	static Refusal lostAnswer(Generation generation, String detail) {
+	static Refusal outputLost(Generation generation, String detail) {
 		return (generation.log().size() > 0) ? Refusal.ran(RefusalReason.TARGET_LOST, detail)
 				: Refusal.mayHaveRun(RefusalReason.TARGET_LOST, detail);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostSettings.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostSettings.java
@@ -1,22 +1,23 @@
 package dev.laneworks.core.host;
 
 /**
- * The bounds and times of a {@link GenerationHost}; times in milliseconds.
+ * Limits and timeouts of a {@link GenerationHost}, with times in milliseconds.
  *
- * @param maxRunning the most requests at the target at a time
- * @param maxQueued the most requests that wait
- * @param capacityTokens the tokens that the target's memory holds, or 0 if it has none to
- * watch
- * @param highWater the share of the memory above which a generation must yield, from 0 to
- * 1
- * @param deviations the standard deviations of memory kept free at admission
- * @param ageingMillis the wait that is worth one priority
- * @param orphanMillis how long a generation goes on without a reader
+ * @param maxRunning the maximum number of requests at the target
+ * @param maxQueued the maximum number of queued requests
+ * @param capacityTokens the capacity of the target's memory in tokens, or 0 for no limit
+ * @param highWater the share of the memory above which a generation is preempted, above 0
+ * and at most 1
+ * @param deviations the number of standard deviations of forecast memory kept free at
+ * admission
+ * @param ageingMillis the time in the queue that raises the priority by one
+ * @param orphanMillis how long a generation continues without a reader
  * @param holdMillis how long a finished output is held
- * @param reattachMillis how long a lost target is asked for a generation's output
- * @param askMillis how long former homes and the target may take to answer about a key
- * @param pauseMillis the gap between inputs that means that the process was paused
- * @param lengthHalfLife the number of outputs after which a learned length weighs half
+ * @param reattachMillis how long output is requested again from a lost target
+ * @param askMillis the timeout for answers of former homes and the target about a key
+ * @param pauseMillis the gap between inputs from which on the process counts as paused
+ * @param lengthHalfLife the number of outputs after which the weight of a learned length
+ * has halved
  * @since 0.1
  */
 public record HostSettings(int maxRunning, int maxQueued, long capacityTokens, double highWater, double deviations,
@@ -35,10 +36,10 @@
 	}
 
 	/**
-	 * Return settings that suit an engine with a memory of the given size.
-	 * @param capacityTokens the tokens that the target's memory holds, or 0 if it has
-	 * none to watch
-	 * @return the settings
+	 * Return the default settings for an engine with the given memory.
+	 * @param capacityTokens the capacity of the target's memory in tokens, or 0 for no
+	 * limit
+	 * @return the default limits and timeouts
 	 */
 	public static HostSettings defaults(long capacityTokens) {
 		return new HostSettings(256, 1024, capacityTokens, 0.97, 1.0, 300_000, 10_000, 10_000, 5_000, 1_000, 5_000,
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -8,80 +8,86 @@
 import dev.laneworks.core.verdict.RefusalReason;
 
 /**
- * Lets a keyed request run only once it is known that no earlier try ran.
+ * Queues a keyed request only after it is certain that no earlier request with the key
+ * ran.
  */
 final class KeyedRequests {
 
-	private final HostParts host;
+	private final HostContext context;
 
 	private final KeyGuard keyGuard;
 
 	private final Refuser refuser;
 
-	private final Places places;
+	private final SlotAllocator slots;
 
-	KeyedRequests(HostParts host, KeyGuard keyGuard, Refuser refuser, Places places) {
-		this.host = host;
+	KeyedRequests(HostContext context, KeyGuard keyGuard, Refuser refuser, SlotAllocator slots) {
+		this.context = context;
 		this.keyGuard = keyGuard;
 		this.refuser = refuser;
-		this.places = places;
+		this.slots = slots;
 	}
 
 	/**
-	 * Take a keyed request on, refuse it, or ask others about earlier tries first.
-	 * @param generation the request's generation, which has a reader and is not held yet
-	 * @param key the request's key
-	 * @param now the time in milliseconds
+	 * Queue a keyed request, refuse it, or first ask former homes or the target about
+	 * earlier requests with the key.
+	 * @param generation the generation of the request, with a reader and not yet in the
+	 * registry
+	 * @param key the key of the request
+	 * @param now the current time in milliseconds
 	 */
 	void decide(Generation generation, OnceKey key, long now) {
-		KeyDecision decision = this.keyGuard.decide(key, generation.work().model(), this.host.ledger(), now);
+		KeyDecision decision = this.keyGuard.decide(key, generation.work().model(), this.context.ledger(), now);
 		if (decision instanceof KeyDecision.Refuse refuse) {
 			Reader reader = generation.reader().orElseThrow();
-			this.host.delivery().lose(generation, now);
+			this.context.delivery().detachReader(generation, now);
 			this.refuser.refuse(reader.link(), reader.stream(), generation.work(), refuse.refusal());
 			return;
 		}
-		this.host.held().put(generation);
+		this.context.registry().put(generation);
 		if (decision instanceof KeyDecision.Run) {
-			this.places.enqueue(generation, now);
+			this.slots.enqueue(generation, now);
 			return;
 		}
-		generation.enter(GenerationState.ASKING);
-		generation.setDeadline(now + this.host.settings().askMillis());
+		generation.transitionTo(GenerationState.ASKING);
+		generation.setDeadline(now + this.context.settings().askMillis());
 		if (decision instanceof KeyDecision.AskTarget ask) {
-			generation.answerIfUnknown(ask.otherwise());
-			this.host.outputs().lookUp(generation.name());
+			generation.setRefusalIfUnknown(ask.otherwise());
+			this.context.outputs().lookUp(generation.name());
 		}
 		else if (decision instanceof KeyDecision.AskHomes ask) {
-			generation.homesToAsk().addAll(ask.homes());
-			ask.homes().forEach((h) -> this.host.outputs().askHome(h, key));
+			generation.pendingHomes().addAll(ask.homes());
+			ask.homes().forEach((h) -> this.context.outputs().askHome(h, key));
 		}
 	}
 
-	// Takes a former home's answer; the request runs once all of them barred the key.
-	void homeAnswered(Generation generation, String home, BarOutcome outcome, long now) {
+	// Handle the answer of a former home. The request is queued once all of them have
+	// revoked the key.
+	void handleHomeAnswer(Generation generation, String home, BarOutcome outcome, long now) {
 		switch (outcome) {
 			case BARRED -> {
-				generation.homesToAsk().remove(home);
-				if (generation.homesToAsk().isEmpty()) {
-					this.places.enqueue(generation, now);
+				generation.pendingHomes().remove(home);
+				if (generation.pendingHomes().isEmpty()) {
+					this.slots.enqueue(generation, now);
 				}
 			}
-			case HAS_RUN -> this.refuser.refuseBeforeRun(generation,
-					Refusal.ran(RefusalReason.KEY_IN_DOUBT, "an earlier try ran at " + home), now);
-			case UNKNOWN -> refuseInDoubt(generation, home + " can't tell whether it ran", now);
+			case HAS_RUN -> this.refuser.refuseBeforeExecution(generation,
+					Refusal.ran(RefusalReason.KEY_IN_DOUBT, "an earlier request with the key ran at " + home), now);
+			case UNKNOWN ->
+				refuseInDoubt(generation, home + " cannot determine whether an earlier request with the key ran", now);
 		}
 	}
 
-	// Refuses a request about which the others did not answer in time.
+	// Refuse a request if the former homes or the target did not answer in time.
 	void refuseIfUnanswered(Generation generation, long now) {
 		if (now >= generation.deadline()) {
-			refuseInDoubt(generation, "no answer about earlier tries in time", now);
+			refuseInDoubt(generation, "no answer about earlier requests with the key in time", now);
 		}
 	}
 
 	private void refuseInDoubt(Generation generation, String detail, long now) {
-		this.refuser.refuseBeforeRun(generation, HostRefusals.inDoubt(detail, this.host.held().memoryMillis()), now);
+		this.refuser.refuseBeforeExecution(generation,
+				HostRefusals.keyInDoubt(detail, this.context.registry().retentionMillis()), now);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Reader.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Reader.java
@@ -3,7 +3,7 @@
 import dev.laneworks.core.message.StreamId;
 
 /**
- * The one attempt that a generation's output goes to.
+ * Attempt that receives the output of a generation, with its position and credit.
  */
 final class Reader {
 
@@ -34,7 +34,7 @@
 		return this.nextOffset;
 	}
 
-	boolean mayTake() {
+	boolean hasCredit() {
 		return this.nextOffset < this.creditLimit;
 	}
 
@@ -42,7 +42,7 @@
 		this.nextOffset++;
 	}
 
-	void allow(long limit) {
+	void raiseCreditLimit(long limit) {
 		this.creditLimit = Math.max(this.creditLimit, limit);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Refuser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Refuser.java
@@ -8,51 +8,50 @@
 import dev.laneworks.core.verdict.Refusal;
 
 /**
- * Refuses requests that did not run, and forgets them.
+ * Refuses requests that did not run and removes their state.
  */
 final class Refuser {
 
-	private final HostParts host;
+	private final HostContext context;
 
-	Refuser(HostParts host) {
-		this.host = host;
+	Refuser(HostContext context) {
+		this.context = context;
 	}
 
 	void refuse(long link, StreamId stream, Work work, Refusal refusal) {
-		this.host.counters().refused().increment();
-		this.host.audit().refused(work, refusal);
-		this.host.outputs().send(link, new SidecarMessage.Refused(stream, refusal));
+		this.context.counters().refused().increment();
+		this.context.audit().refused(work, refusal);
+		this.context.outputs().send(link, new SidecarMessage.Refused(stream, refusal));
 	}
 
 	/**
-	 * Refuse a request that was never handed to the target, or that the target is known
-	 * not to have run.
-	 * @param generation the request's generation
-	 * @param refusal the refusal
-	 * @param now the time in milliseconds
+	 * Refuse a request that was never sent to the target, or that the target certainly
+	 * did not run.
+	 * @param generation the generation of the request
+	 * @param refusal the answer to the reader, if there is one
+	 * @param now the current time in milliseconds
 	 */
-	void refuseBeforeRun(Generation generation, Refusal refusal, long now) {
+	void refuseBeforeExecution(Generation generation, Refusal refusal, long now) {
 		Optional<Reader> reader = generation.reader();
 		drop(generation, now);
 		reader.ifPresent((r) -> refuse(r.link(), r.stream(), generation.work(), refusal));
 	}
 
-	// Refuses all requests that were not handed to the target.
-	void refuseAllBeforeRun(Refusal refusal, long now) {
-		for (Generation generation : this.host.held().copyOfAll()) {
-			if (generation.state().isBeforeRun()) {
-				refuseBeforeRun(generation, refusal, now);
+	void refuseAllBeforeExecution(Refusal refusal, long now) {
+		for (Generation generation : this.context.registry().copyOfAll()) {
+			if (generation.state().isBeforeExecution()) {
+				refuseBeforeExecution(generation, refusal, now);
 			}
 		}
 	}
 
-	// Forgets a generation; if it is one attempt's alone, its name can't run any more.
+	// Remove a generation. Without a key, its name is revoked as well.
 	void drop(Generation generation, long now) {
-		this.host.held().remove(generation.name());
-		this.host.delivery().lose(generation, now);
-		this.host.admission().remove(generation);
+		this.context.registry().remove(generation.name());
+		this.context.delivery().detachReader(generation, now);
+		this.context.admission().remove(generation);
 		if (!generation.isKeyed()) {
-			this.host.held().bar(generation.name(), now);
+			this.context.registry().revoke(generation.name(), now);
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/TargetLoss.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/TargetLoss.java
@@ -1,7 +1,7 @@
 package dev.laneworks.core.host;
 
 /**
- * How a target failed to give a generation's output.
+ * Reason why a target did not deliver the output of a generation.
  *
  * @since 0.1
  */
@@ -10,7 +10,7 @@
 	/** No byte of the request was sent to the target. */
 	NOT_SENT,
 
-	/** The target answered that it takes the request on neither now nor later. */
+	/** The target permanently refused the request. */
 	REFUSED,
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A sidecar's side of a request, from admission to the last delivered token.
+ * Handling of requests in a sidecar, from admission to the last delivered token.
  */
 package dev.laneworks.core.host;
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -37,7 +37,7 @@
 	private static final String TARGETS = "{\"version\": %d, \"keys\": {\"retryWindow\": \"10s\", \"viewAge\": \"5s\", "
 			+ "\"serviceStaleness\": \"1s\"}, \"targets\": [%s]}";
 
-	private final Recording outputs = new Recording();
+	private final RecordingOutputs outputs = new RecordingOutputs();
 
 	private final ConfigurationLedger ledger = new ConfigurationLedger();
 
@@ -47,7 +47,7 @@
 			new HostSettings(2, 3, 0, 0.97, 2, 20_000, 1_000, 1_000, 1_000, 500, 2_000, 64));
 
 	@Test
-	void deliversWhatTheTargetGivesOnceAndInOrder() {
+	void deliversEachChunkOnceAndInOrder() {
 		submit(LINK, 1, "r", 9);
 		this.host.onTargetChunk("r-1", 0, data(0), 1);
 		this.host.onTargetChunk("r-1", 0, data(0), 1);
@@ -59,7 +59,7 @@
 	}
 
 	@Test
-	void mendsAGapAndATruncatedOutput() {
+	void requestsMissingAndTruncatedOutputAgain() {
 		submit(LINK, 1, "r", 9);
 		this.host.onTargetChunk("r-1", 1, data(1), 1);
 		assertThat(this.outputs.last()).isEqualTo("reattach r-1 from 0");
@@ -69,7 +69,7 @@
 	}
 
 	@Test
-	void sendsNoMoreThanTheReaderAllows() {
+	void sendsNoMoreThanTheCreditOfTheReader() {
 		submit(LINK, 1, "r", 1);
 		this.host.onTargetChunk("r-1", 0, data(0), 1);
 		this.host.onTargetChunk("r-1", 1, data(1), 1);
@@ -79,7 +79,7 @@
 	}
 
 	@Test
-	void ofTwoReadersOneWinsAndNeitherSeesATokenTwice() {
+	void deliversOnlyToTheLatestReader() {
 		submit(LINK, 1, "r", 9);
 		this.host.onTargetChunk("r-1", 0, data(0), 1);
 		attach(LINK, new StreamId(2, 1), 1);
@@ -92,7 +92,7 @@
 	}
 
 	@Test
-	void aCallerThatLeavesFreesTheTargetAtOnce() {
+	void cancelsTheGenerationWhenTheCallerDisconnects() {
 		submit(LINK, 1, "r", 9);
 		this.host.onMessage(LINK, new EntryMessage.Release(new StreamId(1, 1), false), 5);
 		assertThat(this.outputs.last()).isEqualTo("cancel r-1");
@@ -100,7 +100,7 @@
 	}
 
 	@Test
-	void aReaderWhoseLinkIsLostMayComeBackForAWhile() {
+	void cancelsAnOrphanedGenerationAfterTheOrphanTime() {
 		submit(LINK, 1, "r", 9);
 		this.host.onLinkLost(LINK, 10);
 		this.host.tick(900);
@@ -112,7 +112,7 @@
 	}
 
 	@Test
-	void barredBeforeItCameItNeverRuns() {
+	void doesNotRunAnAttemptRevokedBeforeItsArrival() {
 		this.host.onMessage(LINK, new EntryMessage.Bar(new StreamId(1, 1), "r-1", "r-1", INCARNATION), 1);
 		assertThat(this.outputs.barOutcome).isEqualTo(BarOutcome.BARRED);
 		submit(LINK, 1, "r", 9);
@@ -122,7 +122,7 @@
 	}
 
 	@Test
-	void whatRunsCanNotBeBarredAndAnotherIncarnationCanNotTell() {
+	void doesNotRevokeRunningAttemptsOrThoseOfOtherIncarnations() {
 		submit(LINK, 1, "r", 9);
 		this.host.onMessage(LINK, new EntryMessage.Bar(new StreamId(1, 1), "r-1", "r-1", INCARNATION), 1);
 		assertThat(this.outputs.barOutcome).isEqualTo(BarOutcome.HAS_RUN);
@@ -131,7 +131,7 @@
 	}
 
 	@Test
-	void leavingItSendsQueuedWorkBackAndGoesOnWithTheRest() {
+	void rejectsQueuedRequestsAndContinuesRunningOnesWhileDraining() {
 		submit(LINK, 1, "a", 9);
 		submit(LINK, 2, "b", 9);
 		submit(LINK, 3, "c", 9);
@@ -145,7 +145,7 @@
 	}
 
 	@Test
-	void pausedItSendsBackWhatWaited() {
+	void rejectsQueuedRequestsAfterAProcessPause() {
 		submit(LINK, 1, "a", 9);
 		submit(LINK, 2, "b", 9);
 		submit(LINK, 3, "c", 9);
@@ -157,7 +157,7 @@
 	}
 
 	@Test
-	void refusesAtOnceWhenTheQueueIsFull() {
+	void refusesRequestsWhenTheQueueIsFull() {
 		for (int i = 1; i <= 6; i++) {
 			submit(LINK, i, "r" + i, 9);
 		}
@@ -166,14 +166,14 @@
 	}
 
 	@Test
-	void aTargetThatWasNeverReachedDidNotRunTheRequest() {
+	void reportsNotRunWhenNothingWasSentToTheTarget() {
 		submit(LINK, 1, "r", 9);
 		this.host.onTargetLost("r-1", TargetLoss.NOT_SENT, 5);
 		assertThat(this.outputs.verdict).isEqualTo(Verdict.NOT_RUN);
 	}
 
 	@Test
-	void aTargetThatForgotTheGenerationEndsItWithATrueVerdict() {
+	void reportsTheVerdictByOutputWhenTheTargetLostTheGeneration() {
 		submit(LINK, 1, "r", 9);
 		submit(LINK, 2, "q", 9);
 		this.host.onTargetChunk("r-1", 0, data(0), 1);
@@ -184,7 +184,7 @@
 	}
 
 	@Test
-	void aTicketOfThisProcessRunsOnceAndOneOfAnotherIsInDoubt() {
+	void runsATicketOfThisProcessOnceAndRefusesAnUnknownOne() {
 		submitKeyed(1, new OnceKey("a", "k", INCARNATION), 0);
 		submitKeyed(2, new OnceKey("a", "k", INCARNATION), 0);
 		assertThat(this.outputs.starts).isEqualTo(1);
@@ -196,7 +196,7 @@
 	}
 
 	@Test
-	void aKeyWhoseReaderLeftIsFoundAgainAndNotRunAnew() {
+	void keepsAKeyedGenerationWhenItsReaderDisconnects() {
 		OnceKey key = new OnceKey("a", "k", INCARNATION);
 		submitKeyed(1, key, 0);
 		this.host.onTargetChunk(key.generationName(), 0, data(0), 1);
@@ -209,7 +209,7 @@
 	}
 
 	@Test
-	void aKeyWithoutATicketNeedsAFreshViewAndAMemoryOfTheWholeWindow() {
+	void requiresAFreshViewAndTheFullRetryWindowForAKeyWithoutTicket() {
 		submitKeyed(1, new OnceKey("a", "k", OnceKey.NO_TICKET), 0);
 		assertThat(this.outputs.refused).containsExactly(RefusalReason.STALE_VIEW);
 		publish(1, 0, "t");
@@ -223,7 +223,7 @@
 	}
 
 	@Test
-	void aFormerHomeMustBarTheKeyFirst() {
+	void runsAKeyOnlyAfterTheFormerHomeRevokedIt() {
 		publish(1, 0, "u");
 		publish(2, 40_000, "t");
 		OnceKey key = new OnceKey("a", "k", OnceKey.NO_TICKET);
@@ -235,7 +235,7 @@
 	}
 
 	@Test
-	void aFormerHomeThatRanItOrIsSilentKeepsItFromRunning() {
+	void doesNotRunAKeyThatAFormerHomeRanOrDidNotAnswerFor() {
 		publish(1, 0, "u");
 		publish(2, 40_000, "t");
 		OnceKey ran = new OnceKey("a", "k", OnceKey.NO_TICKET);
@@ -249,7 +249,7 @@
 	}
 
 	@Test
-	void aKeyThatWaitedIsCheckedAgainWhenItIsAdmitted() {
+	void checksAQueuedKeyAgainAtAdmission() {
 		publish(1, 0, "t");
 		this.ledger.confirm(1, 0, 40_000);
 		submit(LINK, 1, "a", 9, 40_000);
@@ -264,7 +264,7 @@
 	}
 
 	@Test
-	void whenMemoryRunsShortTheLowestPriorityWithTheLeastWorkYieldsAndGoesOnLater() {
+	void preemptsTheLowestPriorityWithTheFewestTokensAndResumesIt() {
 		GenerationHost small = host(new HostSettings(9, 9, 100, 0.9, 0, 20_000, 9_000, 1_000, 1_000, 500, 9_000, 64));
 		small.onMessage(LINK, submission(1, "low", 0, 30), 0);
 		small.onMessage(LINK, submission(2, "less", 0, 10), 0);
@@ -325,9 +325,9 @@
 	}
 
 	/**
-	 * Records what the host asks.
+	 * Records the operations of the host.
 	 */
-	private static final class Recording implements HostOutputs {
+	private static final class RecordingOutputs implements HostOutputs {
 
 		private final List<String> log = new ArrayList<>();
 
