--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/AdmissionQueue.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/AdmissionQueue.java
@@ -11,32 +11,34 @@
 import java.util.Optional;
 
 /**
- * Orders waiting requests by priority, then by each account's share, then by age.
+ * Queue of requests ordered by priority, then by weighted fair sharing among client
+ * accounts, then by age.
  * <p>
- * Each account has a counter of the tokens it was served, divided by its weight; the
- * account with the lowest counter goes first. An account that comes back after a pause
- * starts no lower than the lowest of those that wait, so that nobody saves up. A request
- * gains one priority for each full ageing time that it waits, so that nothing starves.
- * Not thread-safe.
+ * Each account has a counter of the tokens served to it, divided by its weight. The
+ * account with the lowest counter goes first. An account that returns after an idle time
+ * starts at no less than the lowest counter of the waiting accounts, so that idle time
+ * earns no credit. A request gains one priority for each full ageing time in the queue,
+ * which prevents starvation. Not thread-safe.
  *
- * @param <E> the type of entry
+ * @param <E> the type of the queued requests
  * @since 0.1
  */
 public final class AdmissionQueue<E extends QueueEntry> {
 
 	private final long ageingMillis;
 
-	private final Map<String, AccountLine<E>> lines = new HashMap<>();
+	private final Map<String, AccountQueue<E>> accountQueues = new HashMap<>();
 
 	private final Map<String, Double> served = new HashMap<>();
 
-	private final Map<Integer, Integer> counts = new HashMap<>();
+	private final Map<Integer, Integer> countByPriority = new HashMap<>();
 
 	private int size;
 
 	/**
 	 * Create an empty queue.
-	 * @param ageingMillis the wait that is worth one priority, in milliseconds
+	 * @param ageingMillis the time in the queue that raises the priority by one, in
+	 * milliseconds
 	 */
 	public AdmissionQueue(long ageingMillis) {
 		if (ageingMillis < 1) {
@@ -50,28 +52,28 @@
 	 * @param entry the request
 	 */
 	public void add(E entry) {
-		AccountLine<E> line = this.lines.get(entry.account());
-		if (line == null) {
-			double floor = lowestWaiting();
-			this.served.merge(entry.account(), floor, Math::max);
-			line = new AccountLine<>();
-			this.lines.put(entry.account(), line);
+		AccountQueue<E> accountQueue = this.accountQueues.get(entry.account());
+		if (accountQueue == null) {
+			double lowest = lowestServed();
+			this.served.merge(entry.account(), lowest, Math::max);
+			accountQueue = new AccountQueue<>();
+			this.accountQueues.put(entry.account(), accountQueue);
 		}
-		line.add(entry);
+		accountQueue.add(entry);
 		this.size++;
-		this.counts.merge(entry.priority(), 1, Integer::sum);
+		this.countByPriority.merge(entry.priority(), 1, Integer::sum);
 	}
 
 	/**
-	 * Return the request that goes next, without taking it.
-	 * @param now the time in milliseconds
-	 * @return the request, or empty if none waits
+	 * Return the request that goes next, without removing it.
+	 * @param now the current time in milliseconds
+	 * @return the request, or empty if the queue is empty
 	 */
 	public Optional<E> peek(long now) {
 		E best = null;
 		int bestPriority = 0;
-		for (AccountLine<E> line : this.lines.values()) {
-			for (E head : line.heads()) {
+		for (AccountQueue<E> accountQueue : this.accountQueues.values()) {
+			for (E head : accountQueue.heads()) {
 				int priority = agedPriority(head, now);
 				if (best == null || isBefore(head, priority, best, bestPriority)) {
 					best = head;
@@ -85,72 +87,76 @@
 	/**
 	 * Remove a request.
 	 * @param entry the request
-	 * @return whether it was waiting
+	 * @return {@code true} if it was in the queue
 	 */
 	public boolean remove(E entry) {
-		AccountLine<E> line = this.lines.get(entry.account());
-		if (line == null || !line.remove(entry)) {
+		AccountQueue<E> accountQueue = this.accountQueues.get(entry.account());
+		if (accountQueue == null || !accountQueue.remove(entry)) {
 			return false;
 		}
 		this.size--;
-		this.counts.merge(entry.priority(), -1, Integer::sum);
-		if (line.isEmpty()) {
-			this.lines.remove(entry.account());
+		this.countByPriority.merge(entry.priority(), -1, Integer::sum);
+		if (accountQueue.isEmpty()) {
+			this.accountQueues.remove(entry.account());
 		}
 		return true;
 	}
 
 	/**
-	 * Count tokens that an account was served.
-	 * @param account the account
-	 * @param weight its weight
-	 * @param tokens the tokens
+	 * Record tokens that were served to an account.
+	 * @param account the name of the client account
+	 * @param weight the weight of the account, above 0
+	 * @param tokens the number of tokens
 	 */
 	public void recordServed(String account, double weight, long tokens) {
 		this.served.merge(account, tokens / weight, Double::sum);
 	}
 
 	/**
-	 * Forget the counters of accounts that neither wait nor run.
-	 * @param running the accounts that have something running
+	 * Remove the counters of accounts without waiting or running requests.
+	 * @param running the accounts with running requests
 	 */
 	public void retainCounters(Collection<String> running) {
-		this.served.keySet().removeIf((a) -> !this.lines.containsKey(a) && !running.contains(a));
+		this.served.keySet().removeIf((a) -> !this.accountQueues.containsKey(a) && !running.contains(a));
 	}
 
 	/**
-	 * Return the waiting requests in no order.
-	 * @return a copy
+	 * Return the queued requests.
+	 * @return a copy in no particular order
 	 */
 	public List<E> entries() {
 		List<E> entries = new ArrayList<>(this.size);
-		this.lines.values().forEach((l) -> l.addAllTo(entries));
+		this.accountQueues.values().forEach((q) -> q.addAllTo(entries));
 		return entries;
 	}
 
 	/**
-	 * Return how many waiting requests go before a new one, ageing aside.
-	 * @param priority the priority of the new one
-	 * @return the count of those whose priority is no lower
+	 * Return the number of queued requests that go before a new one, without ageing.
+	 * @param priority the priority of the new request
+	 * @return the number of requests with the same or a higher priority
 	 */
 	public int ahead(int priority) {
 		int ahead = 0;
-		for (Map.Entry<Integer, Integer> count : this.counts.entrySet()) {
+		for (Map.Entry<Integer, Integer> count : this.countByPriority.entrySet()) {
 			ahead += (count.getKey() >= priority) ? count.getValue() : 0;
 		}
 		return ahead;
 	}
 
 	/**
-	 * Return how many requests wait.
-	 * @return the count
+	 * Return the size of the queue.
+	 * @return the number of queued requests
 	 */
 	public int size() {
 		return this.size;
 	}
 
-	private double lowestWaiting() {
-		return this.lines.keySet().stream().mapToDouble((a) -> this.served.getOrDefault(a, 0.0)).min().orElse(0);
+	private double lowestServed() {
+		return this.accountQueues.keySet()
+			.stream()
+			.mapToDouble((a) -> this.served.getOrDefault(a, 0.0))
+			.min()
+			.orElse(0);
 	}
 
 	private int agedPriority(E entry, long now) {
@@ -170,9 +176,9 @@
 	}
 
 	/**
-	 * The waiting requests of one account, a line for each priority.
+	 * Queued requests of one account, first in first out within each priority.
 	 */
-	private static final class AccountLine<E extends QueueEntry> {
+	private static final class AccountQueue<E extends QueueEntry> {
 
 		private final Map<Integer, Deque<E>> byPriority = new HashMap<>();
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/LearnedLengthModel.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/LearnedLengthModel.java
@@ -4,28 +4,28 @@
 import java.util.Map;
 
 /**
- * Learns lengths by account, model and kind, and falls back on the model's other requests
- * while it knows little.
+ * Length model that learns from observed outputs by account, model and kind of request.
  * <p>
- * A class with few observations is mixed with its model's curve, and that with a prior in
- * which each doubling of the length is equally likely. The number of classes is bounded;
- * the one least recently used is forgotten. Not thread-safe.
+ * The curve of a class with few observations is mixed with the curve of its model, and
+ * that one with a prior in which each doubling of the length is equally likely. The
+ * number of classes is limited; the least recently used class is removed. Not
+ * thread-safe.
  *
  * @since 0.1
  */
 public final class LearnedLengthModel implements LengthModel {
 
-	/** Enough classes for the accounts of a large fleet. */
+	/** Default for the maximum number of classes. */
 	public static final int DEFAULT_MAX_CLASSES = 4096;
 
 	private static final int INITIAL_CLASSES = 16;
 
 	private static final float LOAD_FACTOR = 0.75f;
 
-	/** The observations of its own at which a curve weighs as much as its fallback. */
+	/** Number of observations at which a curve has the same weight as its fallback. */
 	private static final double PRIOR_STRENGTH = 8;
 
-	/** The prior spreads lengths evenly over the doublings up to this one. */
+	/** Number of doublings over which the prior distributes lengths evenly. */
 	private static final double PRIOR_DOUBLINGS = 14;
 
 	private final int halfLife;
@@ -35,9 +35,9 @@
 	private final Map<String, SurvivalCurve> models = new LinkedHashMap<>();
 
 	/**
-	 * Create a model that knows nothing yet.
-	 * @param halfLife the number of observations after which one weighs half
-	 * @param maxClasses the most classes remembered
+	 * Create a model without observations.
+	 * @param halfLife the number of observations after which the weight of one has halved
+	 * @param maxClasses the maximum number of classes, at least 1
 	 */
 	public LearnedLengthModel(int halfLife, int maxClasses) {
 		if (maxClasses < 1) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/LengthBuckets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/LengthBuckets.java
@@ -1,14 +1,14 @@
 package dev.laneworks.core.admission;
 
 /**
- * Maps output lengths to buckets whose width grows with the length, four to a doubling.
+ * Mapping of output lengths to buckets of logarithmic width, four for each doubling.
  */
 final class LengthBuckets {
 
-	/** The number of buckets; the last holds all lengths from about 100,000 tokens on. */
+	/** Number of buckets. The last one holds all lengths from about 100,000 tokens. */
 	static final int COUNT = 68;
 
-	private static final int[] LOWER = lowerBounds();
+	private static final int[] LOWER_BOUNDS = lowerBounds();
 
 	private LengthBuckets() {
 	}
@@ -16,7 +16,7 @@
 	/**
 	 * Return the bucket of a length.
 	 * @param length the length in tokens
-	 * @return the index
+	 * @return the bucket from 0 to {@link #COUNT} - 1
 	 */
 	static int of(long length) {
 		if (length < 4) {
@@ -28,12 +28,12 @@
 	}
 
 	/**
-	 * Return the least length of a bucket.
-	 * @param bucket the index, up to {@link #COUNT} itself
-	 * @return the length in tokens
+	 * Return the lower bound of a bucket.
+	 * @param bucket the bucket from 0 to {@link #COUNT}
+	 * @return the smallest length of the bucket in tokens
 	 */
 	static int lower(int bucket) {
-		return LOWER[bucket];
+		return LOWER_BOUNDS[bucket];
 	}
 
 	private static int[] lowerBounds() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/LengthClass.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/LengthClass.java
@@ -6,10 +6,10 @@
 import dev.laneworks.core.message.WorkKind;
 
 /**
- * Requests whose outputs are learned together.
+ * Class of requests whose output lengths are learned together.
  *
- * @param account the client account
- * @param model the model
+ * @param account the name of the client account
+ * @param model the name of the model
  * @param kind the kind of request
  * @since 0.1
  */
@@ -24,7 +24,7 @@
 	/**
 	 * Return the class of a request.
 	 * @param work the request
-	 * @return the class
+	 * @return the class by account, model and kind
 	 */
 	public static LengthClass of(Work work) {
 		return new LengthClass(work.account(), work.model(), work.kind());
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/MemoryForecast.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/MemoryForecast.java
@@ -3,15 +3,15 @@
 import java.util.Collection;
 
 /**
- * Forecasts the memory that running generations will hold, while their lengths are
- * unknown.
+ * Forecast of the memory use of running generations whose output lengths are unknown.
  * <p>
- * All running generations grow together, a token a step. For a few points in the future
- * the forecast adds up what each generation will hold if it still runs then, and how
- * uncertain that is: with {@code n} tokens so far, a generation still runs {@code h}
- * steps on with the probability {@code S(n + h) / S(n)} of its survival curve. A
- * candidate fits if at every point the mean plus a number of standard deviations stays
- * within the memory. The number of deviations sets the chance of outgrowing the memory.
+ * All running generations grow by one token in each step. For several points in the
+ * future the forecast sums the mean and the variance of the memory of all generations.
+ * With {@code n} output tokens so far, a generation still runs after {@code h} more steps
+ * with the probability {@code S(n + h) / S(n)}, where {@code S} is its survival curve. A
+ * candidate fits if the mean plus a number of standard deviations stays within the memory
+ * at every point. The number of deviations determines the probability of exceeding the
+ * memory. Not thread-safe.
  *
  * @since 0.1
  */
@@ -30,13 +30,13 @@
 
 	private final double[] variances = new double[HORIZONS.length];
 
-	/** What all would hold if each grew as long as it may. */
-	private long ceiling;
+	/** Total memory in tokens if every generation reaches its maximum length. */
+	private long maxMemoryTokens;
 
 	/**
-	 * Create a forecast of an empty engine.
-	 * @param lengths says how likely an output is to outlast a length
-	 * @param deviations the standard deviations kept free, 0 or more
+	 * Create a forecast without running generations.
+	 * @param lengths the model of output lengths
+	 * @param deviations the number of standard deviations kept free, 0 or more
 	 */
 	public MemoryForecast(LengthModel lengths, double deviations) {
 		if (!(deviations >= 0)) {
@@ -47,11 +47,11 @@
 	}
 
 	/**
-	 * Forecast anew from what runs now.
+	 * Recompute the forecast for the generations that run now.
 	 * @param running the running generations
 	 */
 	public void refresh(Collection<? extends MemoryUser> running) {
-		this.ceiling = 0;
+		this.maxMemoryTokens = 0;
 		for (int i = 0; i < HORIZONS.length; i++) {
 			this.means[i] = 0;
 			this.variances[i] = 0;
@@ -64,32 +64,32 @@
 	 * @param user the generation
 	 */
 	public void add(MemoryUser user) {
-		this.ceiling += ceiling(user);
+		this.maxMemoryTokens += maxMemoryTokens(user);
 		double survivalNow = survivalNow(user);
 		for (int i = 0; i < HORIZONS.length; i++) {
-			double running = probability(user, survivalNow, HORIZONS[i]);
-			double held = held(user, HORIZONS[i]);
-			this.means[i] += running * held;
-			this.variances[i] += running * (1 - running) * held * held;
+			double running = probabilityRunning(user, survivalNow, HORIZONS[i]);
+			double memoryAt = memoryAt(user, HORIZONS[i]);
+			this.means[i] += running * memoryAt;
+			this.variances[i] += running * (1 - running) * memoryAt * memoryAt;
 		}
 	}
 
 	/**
-	 * Return whether a candidate fits beside what runs.
-	 * @param candidate the candidate
-	 * @param capacityTokens the engine's memory in tokens
-	 * @return {@code true} if the chance of outgrowing the memory stays under the bound
+	 * Determine whether a candidate fits into the memory with the running generations.
+	 * @param candidate the generation to be admitted
+	 * @param capacityTokens the memory of the engine in tokens
+	 * @return {@code true} if the forecast stays within the memory at every point
 	 */
 	public boolean fits(MemoryUser candidate, long capacityTokens) {
-		if (this.ceiling + ceiling(candidate) <= capacityTokens) {
+		if (this.maxMemoryTokens + maxMemoryTokens(candidate) <= capacityTokens) {
 			return true;
 		}
 		double survivalNow = survivalNow(candidate);
 		for (int i = 0; i < HORIZONS.length; i++) {
-			double running = probability(candidate, survivalNow, HORIZONS[i]);
-			double held = held(candidate, HORIZONS[i]);
-			double mean = this.means[i] + running * held;
-			double variance = this.variances[i] + running * (1 - running) * held * held;
+			double running = probabilityRunning(candidate, survivalNow, HORIZONS[i]);
+			double memoryAt = memoryAt(candidate, HORIZONS[i]);
+			double mean = this.means[i] + running * memoryAt;
+			double variance = this.variances[i] + running * (1 - running) * memoryAt * memoryAt;
 			if (mean + this.deviations * Math.sqrt(variance) > capacityTokens) {
 				return false;
 			}
@@ -101,7 +101,7 @@
 		return this.lengths.survival(user.lengthClass(), user.outputTokens());
 	}
 
-	private double probability(MemoryUser user, double survivalNow, int horizon) {
+	private double probabilityRunning(MemoryUser user, double survivalNow, int horizon) {
 		if (horizon == 0) {
 			return CERTAINLY_RUNNING;
 		}
@@ -115,11 +115,11 @@
 		return Math.min(1, this.lengths.survival(user.lengthClass(), length) / survivalNow);
 	}
 
-	private static long ceiling(MemoryUser user) {
+	private static long maxMemoryTokens(MemoryUser user) {
 		return (long) user.promptTokens() + user.maxTokens();
 	}
 
-	private static double held(MemoryUser user, int horizon) {
+	private static double memoryAt(MemoryUser user, int horizon) {
 		return (double) user.promptTokens() + Math.min(user.maxTokens(), user.outputTokens() + horizon);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/MemoryUser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/MemoryUser.java
@@ -1,33 +1,33 @@
 package dev.laneworks.core.admission;
 
 /**
- * A generation as far as an engine's memory is concerned.
+ * Generation that occupies memory of an engine.
  *
  * @since 0.1
  */
 public interface MemoryUser {
 
 	/**
-	 * Return the class that its length is learned by.
-	 * @return the class
+	 * Return the class for the forecast of the output length.
+	 * @return the class of the request
 	 */
 	LengthClass lengthClass();
 
 	/**
-	 * Return the tokens of its prompt.
-	 * @return the count
+	 * Return the length of the prompt.
+	 * @return the number of tokens
 	 */
 	int promptTokens();
 
 	/**
-	 * Return the tokens of its output so far.
-	 * @return the count
+	 * Return the length of the output so far.
+	 * @return the number of tokens
 	 */
 	int outputTokens();
 
 	/**
-	 * Return the most tokens its output may have.
-	 * @return the count
+	 * Return the maximum length of the output.
+	 * @return the number of tokens
 	 */
 	int maxTokens();
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/QueueEntry.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/QueueEntry.java
@@ -1,32 +1,32 @@
 package dev.laneworks.core.admission;
 
 /**
- * A request that waits for admission.
+ * Request in an {@link AdmissionQueue}.
  *
  * @since 0.1
  */
 public interface QueueEntry {
 
 	/**
-	 * Return the account that its share is counted for.
-	 * @return the client account
+	 * Return the client account whose share the request uses.
+	 * @return the name of the account
 	 */
 	String account();
 
 	/**
-	 * Return its priority.
-	 * @return higher goes first
+	 * Return the priority of the request.
+	 * @return the priority, where higher values go first
 	 */
 	int priority();
 
 	/**
-	 * Return the account's share relative to other accounts.
+	 * Return the share of the account relative to other accounts.
 	 * @return the weight, above 0
 	 */
 	double weight();
 
 	/**
-	 * Return when it came.
+	 * Return the time at which the request was queued.
 	 * @return the time in milliseconds
 	 */
 	long queuedAt();
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/SurvivalCurve.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/SurvivalCurve.java
@@ -1,9 +1,10 @@
 package dev.laneworks.core.admission;
 
 /**
- * Learns how long outputs are, and forgets.
+ * Survival curve of output lengths with exponentially decaying observations.
  * <p>
- * The weight of an observation halves after a number of later ones. Not thread-safe.
+ * The weight of an observation halves after a fixed number of later ones. Not
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -13,7 +14,7 @@
 
 	private final double[] weights = new double[LengthBuckets.COUNT];
 
-	/** The weight at and above each bucket, filled when first asked for. */
+	/** Total weight at and above each bucket, computed on demand. */
 	private final double[] atLeast = new double[LengthBuckets.COUNT + 1];
 
 	private final double growth;
@@ -24,7 +25,7 @@
 
 	/**
 	 * Create an empty curve.
-	 * @param halfLife the number of observations after which one weighs half
+	 * @param halfLife the number of observations after which the weight of one has halved
 	 */
 	public SurvivalCurve(int halfLife) {
 		if (halfLife < 1) {
@@ -47,8 +48,8 @@
 	}
 
 	/**
-	 * Return how many recent observations the curve rests on.
-	 * @return the sum of weights, where the newest observation weighs 1
+	 * Return the effective number of observations.
+	 * @return the sum of all weights, where the newest observation has the weight 1
 	 */
 	public double effectiveCount() {
 		refresh();
@@ -58,7 +59,7 @@
 	/**
 	 * Return the share of outputs that are longer than a length.
 	 * @param length the length in tokens
-	 * @return from 0 to 1; 0 if nothing was observed
+	 * @return the share from 0 to 1, or 0 without observations
 	 */
 	public double survival(long length) {
 		refresh();
@@ -67,11 +68,11 @@
 		}
 		int bucket = LengthBuckets.of(length);
 		double above = this.atLeast[bucket + 1];
-		double inside = this.atLeast[bucket] - above;
+		double within = this.atLeast[bucket] - above;
 		int lower = LengthBuckets.lower(bucket);
 		double width = Math.max(1, LengthBuckets.lower(bucket + 1) - lower);
-		double shareLeft = Math.max(0, 1 - (length + 1 - lower) / width);
-		return (above + inside * shareLeft) / this.atLeast[0];
+		double remainingShare = Math.max(0, 1 - (length + 1 - lower) / width);
+		return (above + within * remainingShare) / this.atLeast[0];
 	}
 
 	private void refresh() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/WaitEstimate.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/WaitEstimate.java
@@ -1,8 +1,7 @@
 package dev.laneworks.core.admission;
 
 /**
- * Estimates how long a newly queued request will wait, from how fast requests were
- * admitted lately.
+ * Estimate of the time in the queue of a new request, from the recent rate of admissions.
  * <p>
  * Not thread-safe.
  *
@@ -10,37 +9,37 @@
  */
 public final class WaitEstimate {
 
-	private static final double NEW_SHARE = 0.1;
+	private static final double SMOOTHING_FACTOR = 0.1;
 
 	private double meanGapMillis;
 
 	private long lastAdmittedAt;
 
-	private boolean waitedSince;
+	private boolean queueOccupied;
 
 	/**
 	 * Record that a request was admitted.
-	 * @param now the time in milliseconds
-	 * @param othersWait whether more requests wait behind it
+	 * @param now the current time in milliseconds
+	 * @param othersQueued {@code true} if more requests are queued behind it
 	 */
-	public void recordAdmitted(long now, boolean othersWait) {
-		if (this.waitedSince) {
+	public void recordAdmitted(long now, boolean othersQueued) {
+		if (this.queueOccupied) {
 			double gap = now - this.lastAdmittedAt;
-			this.meanGapMillis = (this.meanGapMillis != 0) ? this.meanGapMillis + NEW_SHARE * (gap - this.meanGapMillis)
-					: gap;
+			this.meanGapMillis = (this.meanGapMillis != 0)
+					? this.meanGapMillis + SMOOTHING_FACTOR * (gap - this.meanGapMillis) : gap;
 		}
 		this.lastAdmittedAt = now;
-		this.waitedSince = othersWait;
+		this.queueOccupied = othersQueued;
 	}
 
 	/**
-	 * Estimate the wait of a request.
+	 * Return the estimated wait of a new request.
 	 * @param ahead the number of requests ahead of it
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 * @return the wait in milliseconds
 	 */
 	public long waitMillis(int ahead, long now) {
-		double sinceLast = this.waitedSince ? now - this.lastAdmittedAt : 0;
+		double sinceLast = this.queueOccupied ? now - this.lastAdmittedAt : 0;
 		double gap = Math.max(this.meanGapMillis, sinceLast);
 		return (long) Math.max(0, (ahead + 1) * gap - sinceLast);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Admits work to an engine's memory while output lengths are unknown.
+ * Admission of requests to an engine's memory while output lengths are unknown.
  */
 package dev.laneworks.core.admission;
--- a/laneworks-core/src/test/java/dev/laneworks/core/admission/AdmissionQueueTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/admission/AdmissionQueueTests.java
@@ -14,36 +14,36 @@
  */
 class AdmissionQueueTests {
 
-	private final AdmissionQueue<Waiting> queue = new AdmissionQueue<>(1_000);
+	private final AdmissionQueue<QueuedRequest> queue = new AdmissionQueue<>(1_000);
 
 	@Test
-	void takesHigherPriorityFirst() {
-		this.queue.add(new Waiting("a", 0, 1, 0));
-		Waiting live = new Waiting("a", 3, 1, 5);
+	void returnsHigherPriorityFirst() {
+		this.queue.add(new QueuedRequest("a", 0, 1, 0));
+		QueuedRequest live = new QueuedRequest("a", 3, 1, 5);
 		this.queue.add(live);
 		assertThat(this.queue.peek(10).orElseThrow()).isEqualTo(live);
 	}
 
 	@Test
-	void agesWhatWaitsSoThatNothingStarves() {
-		Waiting old = new Waiting("a", 0, 1, 0);
+	void raisesThePriorityOfWaitingRequests() {
+		QueuedRequest old = new QueuedRequest("a", 0, 1, 0);
 		this.queue.add(old);
-		this.queue.add(new Waiting("b", 3, 1, 4_000));
+		this.queue.add(new QueuedRequest("b", 3, 1, 4_000));
 		assertThat(this.queue.peek(4_000).orElseThrow()).isEqualTo(old);
 	}
 
 	@Test
 	void servesAccountsByWeight() {
 		for (int i = 0; i < 400; i++) {
-			this.queue.add(new Waiting("large", 1, 1, i));
-			this.queue.add(new Waiting("double", 1, 2, i));
+			this.queue.add(new QueuedRequest("large", 1, 1, i));
+			this.queue.add(new QueuedRequest("double", 1, 2, i));
 		}
 		for (int i = 0; i < 100; i++) {
-			this.queue.add(new Waiting("small", 1, 1, i));
+			this.queue.add(new QueuedRequest("small", 1, 1, i));
 		}
 		Map<String, Integer> served = new HashMap<>();
 		for (int i = 0; i < 200; i++) {
-			Waiting next = this.queue.peek(500).orElseThrow();
+			QueuedRequest next = this.queue.peek(500).orElseThrow();
 			this.queue.remove(next);
 			this.queue.recordServed(next.account(), next.weight(), 100);
 			served.merge(next.account(), 1, Integer::sum);
@@ -52,15 +52,15 @@
 	}
 
 	@Test
-	void doesNotLetAnAccountSaveUp() {
-		this.queue.add(new Waiting("busy", 1, 1, 0));
+	void givesNoCreditForIdleTime() {
+		this.queue.add(new QueuedRequest("busy", 1, 1, 0));
 		this.queue.recordServed("busy", 1, 10_000);
-		this.queue.add(new Waiting("late", 1, 1, 1));
+		this.queue.add(new QueuedRequest("late", 1, 1, 1));
 		List<String> order = new ArrayList<>();
 		for (int i = 0; i < 6; i++) {
-			this.queue.add(new Waiting("busy", 1, 1, 2 + i));
-			this.queue.add(new Waiting("late", 1, 1, 2 + i));
-			Waiting next = this.queue.peek(10).orElseThrow();
+			this.queue.add(new QueuedRequest("busy", 1, 1, 2 + i));
+			this.queue.add(new QueuedRequest("late", 1, 1, 2 + i));
+			QueuedRequest next = this.queue.peek(10).orElseThrow();
 			this.queue.remove(next);
 			this.queue.recordServed(next.account(), 1, 100);
 			order.add(next.account());
@@ -69,9 +69,9 @@
 	}
 
 	/**
-	 * A waiting request.
+	 * Queued request with fixed values.
 	 */
-	private record Waiting(String account, int priority, double weight, long queuedAt) implements QueueEntry {
+	private record QueuedRequest(String account, int priority, double weight, long queuedAt) implements QueueEntry {
 
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/admission/MemoryForecastTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/admission/MemoryForecastTests.java
@@ -23,14 +23,14 @@
 	private final LearnedLengthModel lengths = new LearnedLengthModel(64, 16);
 
 	@Property(seed = "4", tries = 500)
-	void bucketsHoldTheirLengths(@ForAll @LongRange(min = 0, max = 90_000) long length) {
+	void bucketBoundsContainTheirLengths(@ForAll @LongRange(min = 0, max = 90_000) long length) {
 		int bucket = LengthBuckets.of(length);
 		assertThat(length).isAtLeast((long) LengthBuckets.lower(bucket));
 		assertThat(length).isLessThan((long) LengthBuckets.lower(bucket + 1));
 	}
 
 	@Property(seed = "5", tries = 50)
-	void survivalNeverRises(@ForAll long seed) {
+	void survivalNeverIncreases(@ForAll long seed) {
 		SurvivalCurve curve = new SurvivalCurve(32);
 		SplittableRandom random = new SplittableRandom(seed);
 		for (int i = 0; i < 100; i++) {
@@ -45,7 +45,7 @@
 	}
 
 	@Test
-	void followsASuddenShiftOfLengths() {
+	void adaptsToASuddenShiftOfLengths() {
 		SurvivalCurve curve = new SurvivalCurve(32);
 		for (int i = 0; i < 500; i++) {
 			curve.observe(50);
@@ -58,31 +58,31 @@
 	}
 
 	@Test
-	void admitsAnEngineFullOfShortOutputsAndFewerOfLongOnes() {
+	void admitsMoreShortOutputsThanLongOnes() {
 		for (int i = 0; i < 300; i++) {
 			this.lengths.observe(TYPE, 50);
 		}
-		int whenShort = admitted(10_000);
+		int whenShort = countAdmitted(10_000);
 		for (int i = 0; i < 300; i++) {
 			this.lengths.observe(TYPE, 1_000);
 		}
-		int whenLong = admitted(10_000);
+		int whenLong = countAdmitted(10_000);
 		assertThat(whenShort).isAtLeast(60);
 		assertThat(whenLong).isAtMost(12);
 		assertThat(whenLong).isAtLeast(5);
 	}
 
 	@Test
-	void neverForecastsMoreThanTheMostAnOutputMayHave() {
+	void limitsTheForecastToTheMaximumLength() {
 		MemoryForecast forecast = new MemoryForecast(this.lengths, 2);
-		assertThat(forecast.fits(new Running(10, 0, 20), 30)).isTrue();
-		assertThat(forecast.fits(new Running(10, 0, 20), 9)).isFalse();
+		assertThat(forecast.fits(new RunningGeneration(10, 0, 20), 30)).isTrue();
+		assertThat(forecast.fits(new RunningGeneration(10, 0, 20), 9)).isFalse();
 	}
 
-	private int admitted(long capacity) {
+	private int countAdmitted(long capacity) {
 		MemoryForecast forecast = new MemoryForecast(this.lengths, 2);
-		List<Running> running = new ArrayList<>();
-		Running next = new Running(50, 0, 100_000);
+		List<RunningGeneration> running = new ArrayList<>();
+		RunningGeneration next = new RunningGeneration(50, 0, 100_000);
 		while (forecast.fits(next, capacity)) {
 			running.add(next);
 			forecast.refresh(running);
@@ -91,9 +91,9 @@
 	}
 
 	/**
-	 * A running generation.
+	 * Running generation with fixed values.
 	 */
-	private record Running(int promptTokens, int outputTokens, int maxTokens) implements MemoryUser {
+	private record RunningGeneration(int promptTokens, int outputTokens, int maxTokens) implements MemoryUser {
 
 		@Override
 		public LengthClass lengthClass() {
