--- a/laneworks-core/src/main/java/dev/laneworks/core/once/ExpiringNames.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/ExpiringNames.java
@@ -5,52 +5,53 @@
 import java.util.Map;
 
 /**
- * Remembers names for a time, oldest forgotten first.
+ * Set of names with an expiry time each.
  * <p>
- * Not thread-safe.
+ * Names are removed in the order of their addition, so a name whose expiry time is
+ * earlier than that of one added before it may be kept longer. Not thread-safe.
  *
  * @since 0.1
  */
 public final class ExpiringNames {
 
-	private final Map<String, Long> expiry = new LinkedHashMap<>();
+	private final Map<String, Long> expiryTimes = new LinkedHashMap<>();
 
 	/**
-	 * Remember a name, from now on if it is remembered already.
+	 * Add a name, or replace its expiry time if it is present.
 	 * @param name the name
-	 * @param until when to forget it, in milliseconds
+	 * @param until the expiry time in milliseconds
 	 */
 	public void add(String name, long until) {
-		this.expiry.remove(name);
-		this.expiry.put(name, until);
+		this.expiryTimes.remove(name);
+		this.expiryTimes.put(name, until);
 	}
 
 	/**
-	 * Return whether a name is remembered.
+	 * Determine whether a name is present.
 	 * @param name the name
-	 * @return {@code true} if it was added and not forgotten
+	 * @return {@code true} if it was added and not removed by {@link #expire}
 	 */
 	public boolean contains(String name) {
-		return this.expiry.containsKey(name);
+		return this.expiryTimes.containsKey(name);
 	}
 
 	/**
-	 * Forget the names whose time is over.
-	 * @param now the time in milliseconds
+	 * Remove expired names.
+	 * @param now the current time in milliseconds
 	 */
 	public void expire(long now) {
-		Iterator<Long> times = this.expiry.values().iterator();
+		Iterator<Long> times = this.expiryTimes.values().iterator();
 		while (times.hasNext() && times.next() <= now) {
 			times.remove();
 		}
 	}
 
 	/**
-	 * Return how many names are remembered.
-	 * @return the count
+	 * Return the size of the set.
+	 * @return the number of names
 	 */
 	public int size() {
-		return this.expiry.size();
+		return this.expiryTimes.size();
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/KeyDecision.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/KeyDecision.java
@@ -5,21 +5,21 @@
 import dev.laneworks.core.verdict.Refusal;
 
 /**
- * What a sidecar may do with a keyed request that it has no record of.
+ * Decision of a {@link KeyGuard} on a keyed request without a record at the sidecar.
  *
  * @since 0.1
  */
 public sealed interface KeyDecision {
 
 	/**
-	 * No earlier try can have run: go ahead.
+	 * The request may run, because no earlier request with the key can have run.
 	 */
 	record Run() implements KeyDecision {
 
 	}
 
 	/**
-	 * Former homes must bar the key first.
+	 * Former homes of the key must revoke it first.
 	 *
 	 * @param homes the names of the former homes
 	 */
@@ -28,19 +28,19 @@
 	}
 
 	/**
-	 * An earlier process beside the same target may have run it: only the target itself
-	 * can tell.
+	 * An earlier sidecar process of the target may have run a request with the key, which
+	 * the target must be asked about.
 	 *
-	 * @param otherwise the answer if the target can't tell
+	 * @param otherwise the refusal if the target holds no such generation
 	 */
 	record AskTarget(Refusal otherwise) implements KeyDecision {
 
 	}
 
 	/**
-	 * The request is refused.
+	 * The request must be refused.
 	 *
-	 * @param refusal the answer
+	 * @param refusal the refusal sent to the caller
 	 */
 	record Refuse(Refusal refusal) implements KeyDecision {
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
@@ -13,14 +13,14 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * Decides whether a sidecar may run a keyed request that it has no record of.
+ * Decides whether a sidecar may run a keyed request of which it has no record.
  * <p>
- * There is one home for each key and no shared store. A ticket names its home and the
- * home's incarnation: that process alone may run the request, and its memory covers the
- * ticket's whole life. A key without a ticket has the home that the published targets
- * give it. Its home decides only while its view of these is confirmed, only when its
- * memory covers the retry window, and only after former homes have barred the key. Not
- * thread-safe.
+ * Each key has one home, and there is no shared store. A ticket names the home and its
+ * incarnation. Only that process may run the request, and its records cover the whole
+ * lifetime of the ticket. The home of a key without a ticket is derived from the
+ * published targets. It decides only while its view of the published targets is
+ * confirmed, only if its records cover the retry window, and only after former homes have
+ * revoked the key. Not thread-safe.
  *
  * @since 0.1
  */
@@ -41,9 +41,9 @@
 	/**
 	 * Create a guard.
 	 * @param target the name of the sidecar's target
-	 * @param incarnation the sidecar's incarnation
-	 * @param startedAt when the sidecar started, in milliseconds
-	 * @param views remembers the published targets
+	 * @param incarnation the incarnation of the sidecar, never {@link OnceKey#NO_TICKET}
+	 * @param startedAt the start time of the sidecar in milliseconds
+	 * @param views the history of published targets
 	 */
 	public KeyGuard(String target, long incarnation, long startedAt, ViewHistory views) {
 		if (incarnation == OnceKey.NO_TICKET) {
@@ -58,16 +58,16 @@
 	/**
 	 * Decide on a keyed request.
 	 * @param key the key
-	 * @param model the model of the request
-	 * @param ledger the configuration in force and its age
-	 * @param now the time in milliseconds
-	 * @return what may be done
+	 * @param model the name of the model
+	 * @param ledger the current configuration and its age
+	 * @param now the current time in milliseconds
+	 * @return whether to run, to ask others first or to refuse
 	 */
 	public KeyDecision decide(OnceKey key, String model, ConfigurationLedger ledger, long now) {
 		if (key.hasTicket()) {
 			return decideTicket(key);
 		}
-		Optional<Refusal> refusal = refusalByView(key, model, ledger, now);
+		Optional<Refusal> refusal = findViewRefusal(key, model, ledger, now);
 		if (refusal.isPresent()) {
 			return new KeyDecision.Refuse(refusal.get());
 		}
@@ -75,30 +75,30 @@
 	}
 
 	/**
-	 * Return whether a keyed request that was decided on before may still run.
+	 * Determine whether a keyed request may still run after it waited in the queue.
 	 * @param key the key
-	 * @param model the model of the request
-	 * @param ledger the configuration in force and its age
-	 * @param now the time in milliseconds
-	 * @return {@code false} if the sidecar's view is too old, or names another home by
-	 * now
+	 * @param model the name of the model
+	 * @param ledger the current configuration and its age
+	 * @param now the current time in milliseconds
+	 * @return {@code false} if the view of the published targets is too old or names
+	 * another home
 	 */
 	public boolean mayStillRun(OnceKey key, String model, ConfigurationLedger ledger, long now) {
-		return key.hasTicket() || refusalByView(key, model, ledger, now).isEmpty();
+		return key.hasTicket() || findViewRefusal(key, model, ledger, now).isEmpty();
 	}
 
 	/**
-	 * Return whether the sidecar's memory covers all tries of a key that could have come
-	 * to it.
-	 * @param configuration the configuration in force
-	 * @param now the time in milliseconds
-	 * @return {@code true} if it has run for long enough
+	 * Determine whether the records of this sidecar cover the whole time in which an
+	 * earlier request with a key can have arrived.
+	 * @param configuration the current configuration
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if the sidecar started long enough ago
 	 */
 	public boolean remembersWindow(FleetConfiguration configuration, long now) {
 		return now - this.startedAt >= configuration.keyTimes().memoryMillis();
 	}
 
-	private Optional<Refusal> refusalByView(OnceKey key, String model, ConfigurationLedger ledger, long now) {
+	private Optional<Refusal> findViewRefusal(OnceKey key, String model, ConfigurationLedger ledger, long now) {
 		FleetConfiguration configuration = ledger.current().orElse(null);
 		if (configuration == null || ledger.confirmedAgeMillis(now) > configuration.keyTimes().viewAge().toMillis()) {
 			return Optional.of(Refusal.notRun(RefusalReason.STALE_VIEW,
@@ -107,7 +107,7 @@
 		}
 		if (this.views.home(model, key.generationName()).filter(this.target::equals).isEmpty()) {
 			return Optional.of(Refusal.notRun(RefusalReason.LEAVING,
-					"this sidecar is not the home of the key by the targets published now", WRONG_HOME_RETRY));
+					"this sidecar is not the home of the key according to the published targets", WRONG_HOME_RETRY));
 		}
 		return Optional.empty();
 	}
@@ -117,19 +117,19 @@
 			return new KeyDecision.Run();
 		}
 		return new KeyDecision.AskTarget(Refusal.mayHaveRun(RefusalReason.KEY_IN_DOUBT,
-				"the sidecar that the ticket names is gone and may have run the request"));
+				"the sidecar process that the ticket names is no longer running and may have run the request"));
 	}
 
 	private KeyDecision decideAtHome(String generation, String model, FleetConfiguration configuration, long now) {
 		if (!remembersWindow(configuration, now)) {
-			long remaining = this.startedAt + configuration.keyTimes().memoryMillis() - now;
+			long remainingMillis = this.startedAt + configuration.keyTimes().memoryMillis() - now;
 			return new KeyDecision.AskTarget(new Refusal(Verdict.MAY_HAVE_RUN, RefusalReason.KEY_IN_DOUBT,
-					"not run this time; an earlier try may have run before this sidecar started",
-					Optional.of(Duration.ofMillis(remaining))));
+					"this request did not run: an earlier request with the key may have run before this sidecar started",
+					Optional.of(Duration.ofMillis(remainingMillis))));
 		}
-		Set<String> others = new LinkedHashSet<>(this.views.homes(model, generation));
-		others.remove(this.target);
-		return others.isEmpty() ? new KeyDecision.Run() : new KeyDecision.AskHomes(others);
+		Set<String> formerHomes = new LinkedHashSet<>(this.views.homes(model, generation));
+		formerHomes.remove(this.target);
+		return formerHomes.isEmpty() ? new KeyDecision.Run() : new KeyDecision.AskHomes(formerHomes);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/ViewHistory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/ViewHistory.java
@@ -11,10 +11,10 @@
 import dev.laneworks.core.routing.Rendezvous;
 
 /**
- * Remembers which targets were published, so that the former homes of a key can be named.
+ * History of the published targets, from which the former homes of a key are derived.
  * <p>
  * The home of a key without a ticket is the published target that serves its model and
- * wins the rendezvous for the key. Not thread-safe.
+ * ranks first in the rendezvous hashing of the key. Not thread-safe.
  *
  * @since 0.1
  */
@@ -23,9 +23,9 @@
 	private final Deque<View> views = new ArrayDeque<>();
 
 	/**
-	 * Record the targets of a configuration that comes in force.
+	 * Record the targets of a configuration that takes effect.
 	 * @param targets the published targets
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void record(List<TargetDescription> targets, long now) {
 		View last = this.views.peekLast();
@@ -36,20 +36,20 @@
 	}
 
 	/**
-	 * Forget the views that were replaced before a time.
+	 * Remove the views that were replaced at or before a time.
 	 * @param before the time in milliseconds
 	 */
 	public void forget(long before) {
-		while (this.views.size() > 1 && secondSince() <= before) {
+		while (this.views.size() > 1 && secondViewSince() <= before) {
 			this.views.removeFirst();
 		}
 	}
 
 	/**
-	 * Return the home of a key by the targets published now.
-	 * @param model the model of the request
+	 * Return the home of a key according to the latest view.
+	 * @param model the name of the model
 	 * @param generation the name of the key's generation
-	 * @return the home's name, or empty if no target serves the model
+	 * @return the name of the home, or empty if no target serves the model
 	 */
 	public Optional<String> home(String model, String generation) {
 		View last = this.views.peekLast();
@@ -57,10 +57,10 @@
 	}
 
 	/**
-	 * Return all homes the key had by the views remembered, the present one among them.
-	 * @param model the model of the request
+	 * Return the homes of a key according to all recorded views.
+	 * @param model the name of the model
 	 * @param generation the name of the key's generation
-	 * @return the names of the homes
+	 * @return the names of the former homes and the current one, oldest first
 	 */
 	public Set<String> homes(String model, String generation) {
 		Set<String> homes = new LinkedHashSet<>();
@@ -69,19 +69,19 @@
 	}
 
 	/**
-	 * Return how many views are remembered.
-	 * @return the count
+	 * Return the size of the history.
+	 * @return the number of views
 	 */
 	public int size() {
 		return this.views.size();
 	}
 
 	/**
-	 * Return the home of a key by a list of targets.
+	 * Return the home of a key according to a list of targets.
 	 * @param targets the published targets
-	 * @param model the model of the request
+	 * @param model the name of the model
 	 * @param generation the name of the key's generation
-	 * @return the home's name, or empty if no target serves the model
+	 * @return the name of the home, or empty if no target serves the model
 	 */
 	public static Optional<String> home(List<TargetDescription> targets, String model, String generation) {
 		List<TargetDescription> serving = targets.stream().filter((t) -> t.serves().contains(model)).toList();
@@ -89,7 +89,7 @@
 			.map(TargetDescription::name);
 	}
 
-	private long secondSince() {
+	private long secondViewSince() {
 		var iterator = this.views.iterator();
 		iterator.next();
 		return iterator.next().since();
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Runs a request that must not be repeated at most once, without a shared store.
+ * At-most-once execution of keyed requests without a shared store.
  */
 package dev.laneworks.core.once;
