--- a/laneworks-core/src/main/java/dev/laneworks/core/call/Call.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/Call.java
@@ -8,7 +8,8 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * One caller's request, or its return to a generation, as the entry holds it.
+ * State of one open call of an entry: its request, current phase, target and read
+ * position.
  */
 final class Call {
 
@@ -20,7 +21,7 @@
 
 	private final long firstOutputDeadline;
 
-	private final Set<String> excluded = new HashSet<>();
+	private final Set<String> excludedTargets = new HashSet<>();
 
 	private CallPhase phase = CallPhase.CONNECTING;
 
@@ -48,13 +49,13 @@
 
 	private long creditLimit;
 
-	private Verdict worst = Verdict.NOT_RUN;
+	private Verdict worstVerdict = Verdict.NOT_RUN;
 
 	private boolean countedInFlight;
 
 	private boolean announced;
 
-	private boolean heardWhileBarring;
+	private boolean answeredWhileRevoking;
 
 	Call(long number, CallRequest request, long now) {
 		this.number = number;
@@ -78,8 +79,8 @@
 		return this.firstOutputDeadline;
 	}
 
-	Set<String> excluded() {
-		return this.excluded;
+	Set<String> excludedTargets() {
+		return this.excludedTargets;
 	}
 
 	CallPhase phase() {
@@ -99,7 +100,7 @@
 		return this.target;
 	}
 
-	void routeTo(String name, String reason) {
+	void setTarget(String name, String reason) {
 		this.target = name;
 		this.route = reason;
 	}
@@ -130,23 +131,23 @@
 		this.incarnation = sidecarIncarnation;
 		this.generation = work().generationName(stream.attempt());
 		this.attemptName = work().attemptName(stream.attempt());
-		this.heardWhileBarring = false;
+		this.answeredWhileRevoking = false;
 		return stream;
 	}
 
-	// Frames of earlier streams of this call are void from now on.
+	// Messages of earlier streams of this call are dropped from now on.
 	StreamId nextStream() {
 		this.epoch++;
 		return stream();
 	}
 
-	void returnTo(String generationName, long sidecarIncarnation, long offset) {
+	void resumeGeneration(String generationName, long sidecarIncarnation, long offset) {
 		this.generation = generationName;
 		this.incarnation = sidecarIncarnation;
 		this.nextOffset = offset;
 		this.readOffset = offset;
 		this.outputSeen = true;
-		this.worst = Verdict.RAN;
+		this.worstVerdict = Verdict.RAN;
 	}
 
 	int attempts() {
@@ -160,7 +161,7 @@
 	void advance() {
 		this.nextOffset++;
 		this.outputSeen = true;
-		this.worst = Verdict.RAN;
+		this.worstVerdict = Verdict.RAN;
 	}
 
 	boolean hasOutputBeenSeen() {
@@ -179,16 +180,16 @@
 		return this.readOffset;
 	}
 
-	void read(long offset) {
+	void recordRead(long offset) {
 		this.readOffset = Math.max(this.readOffset, offset);
 	}
 
-	// The final verdict covers all attempts, not just the last.
-	Verdict worsen(Verdict verdict) {
-		if (verdict.compareTo(this.worst) > 0) {
-			this.worst = verdict;
+	// Merges the verdict of an attempt into the worst verdict of all attempts.
+	Verdict mergeVerdict(Verdict verdict) {
+		if (verdict.compareTo(this.worstVerdict) > 0) {
+			this.worstVerdict = verdict;
 		}
-		return this.worst;
+		return this.worstVerdict;
 	}
 
 	boolean isCountedInFlight() {
@@ -199,20 +200,20 @@
 		this.countedInFlight = counted;
 	}
 
-	// Returns whether the caller's side was not told yet.
-	boolean announce() {
+	// Returns whether this is the first announcement to the caller.
+	boolean markAnnounced() {
 		boolean first = !this.announced;
 		this.announced = true;
 		return first;
 	}
 
-	// The sidecar read the request before it read the wish to bar it.
-	void heardWhileBarring() {
-		this.heardWhileBarring = true;
+	// The sidecar answered the request although its revocation was sent.
+	void recordAnswerWhileRevoking() {
+		this.answeredWhileRevoking = true;
 	}
 
-	boolean wasHeardWhileBarring() {
-		return this.heardWhileBarring;
+	boolean wasAnsweredWhileRevoking() {
+		return this.answeredWhileRevoking;
 	}
 
 	boolean hasFixedTarget() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -14,121 +14,123 @@
 import dev.laneworks.core.stream.StreamPosition;
 
 /**
- * Takes an entry's calls from their first attempt to their final answer.
+ * State machine that drives an entry's calls from the first attempt to the final answer.
  * <p>
- * A call reads from one generation. An attempt that was not heard of is barred before
- * another is made; when that can't be done it may have run, and only a repeatable request
- * whose caller has seen nothing goes on. Once output was delivered the call stays with
- * its generation, which it finds again by name after the link or the sidecar was lost.
- * Messages are matched by call, epoch and target; all others are dropped and counted. All
- * inputs carry the time in milliseconds, which must not fall. Not thread-safe.
+ * A call reads the output of one generation. An unanswered attempt is revoked before the
+ * next one; if it cannot be revoked it may have run, and only a repeatable request
+ * without delivered output is retried. Once output was delivered, the call stays with its
+ * generation and reattaches to it by name after the link or the sidecar was lost.
+ * Messages are matched by call, epoch and target; all others are dropped and counted. The
+ * time passed to the methods must not decrease. Not thread-safe.
  *
  * @since 0.1
  */
 public final class CallCoordinator {
 
-	private final CallParts parts;
+	private final CallContext context;
 
 	private final FixedTargets fixedTargets = new FixedTargets();
 
-	private final CallEnd end;
+	private final CallTerminator terminator;
 
-	private final Attempts attempts;
+	private final AttemptDispatcher dispatcher;
 
-	private final Retries retries;
+	private final RetryHandler retryHandler;
 
-	private final SidecarAnswers answers;
+	private final SidecarMessageHandler messageHandler;
 
 	/**
 	 * Create a coordinator without calls.
-	 * @param settings bounds and times
-	 * @param selector chooses targets
-	 * @param board what the entry believes of each target
-	 * @param budget bounds retries
-	 * @param backoff spreads retries over time
-	 * @param outputs what the coordinator asks of the world
-	 * @param audit takes audit events
+	 * @param settings the limits and timeouts
+	 * @param selector selects the target of an attempt
+	 * @param board the recorded state of each target
+	 * @param budget limits the number of retries
+	 * @param backoff calculates the delay between retries
+	 * @param outputs connects to sidecars and answers callers
+	 * @param audit records decisions and their causes
 	 */
 	public CallCoordinator(CallSettings settings, TargetSelector selector, TargetBoard board, RetryBudget budget,
 			Backoff backoff, CallOutputs outputs, AuditSink audit) {
-		this.parts = new CallParts(settings, outputs, audit, new CallCounters(), new Sidecars(),
-				new TargetRecords(board, audit), new OpenCalls());
-		this.end = new CallEnd(this.parts, backoff);
-		this.attempts = new Attempts(this.parts, selector, this.fixedTargets, this.end);
-		this.retries = new Retries(this.parts, budget, backoff, this.fixedTargets, this.attempts, this.end);
-		this.answers = new SidecarAnswers(this.parts, budget, this.attempts, this.retries, this.end);
+		this.context = new CallContext(settings, outputs, audit, new CallCounters(), new SidecarIncarnations(),
+				new TargetOutcomes(board, audit), new OpenCalls());
+		this.terminator = new CallTerminator(this.context, backoff);
+		this.dispatcher = new AttemptDispatcher(this.context, selector, this.fixedTargets, this.terminator);
+		this.retryHandler = new RetryHandler(this.context, budget, backoff, this.fixedTargets, this.dispatcher,
+				this.terminator);
+		this.messageHandler = new SidecarMessageHandler(this.context, budget, this.dispatcher, this.retryHandler,
+				this.terminator);
 	}
 
 	/**
-	 * Use a configuration from now on.
+	 * Apply a new configuration to calls from now on.
 	 * @param newConfiguration the configuration in force
 	 */
 	public void use(FleetConfiguration newConfiguration) {
 		this.fixedTargets.use(newConfiguration);
-		this.parts.sidecars().forgetAllBut(newConfiguration);
+		this.context.sidecars().retainTargets(newConfiguration);
 	}
 
 	/**
-	 * Open a call.
-	 * @param number the call's number, never used before
-	 * @param request the request
-	 * @param now the time in milliseconds
+	 * Open a call and start its first attempt.
+	 * @param number the call's number, which must not have been used before
+	 * @param request the request and the intent that it falls under
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void open(long number, CallRequest request, long now) {
-		this.attempts.route(add(number, request, now), now);
+		this.dispatcher.route(add(number, request, now), now);
 	}
 
 	/**
-	 * Open a call that goes on with a generation.
-	 * @param number the call's number, never used before
-	 * @param request the request as far as it is known; its work is not sent
-	 * @param position where to go on
-	 * @param now the time in milliseconds
+	 * Open a call that resumes reading an existing generation.
+	 * @param number the call's number, which must not have been used before
+	 * @param request the known part of the request; its work is not sent
+	 * @param position the position in the output from which to resume
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void resume(long number, CallRequest request, StreamPosition position, long now) {
 		Call call = add(number, request, now);
-		call.routeTo(position.target(), "holds the generation");
-		call.returnTo(position.generation(), position.incarnation(), position.offset());
-		this.attempts.reattach(call, now);
+		call.setTarget(position.target(), "holds the generation");
+		call.resumeGeneration(position.generation(), position.incarnation(), position.offset());
+		this.dispatcher.reattach(call, now);
 	}
 
 	/**
-	 * Handle the caller's having taken output.
-	 * @param number the call's number
-	 * @param offset the first offset that it has not taken
+	 * Record that the caller has read output.
+	 * @param number the call's number; ignored if no such call is open
+	 * @param offset the first offset that the caller has not read
 	 */
 	public void onCallerRead(long number, long offset) {
-		this.parts.calls().find(number).ifPresent((c) -> {
-			c.read(offset);
-			this.answers.grantCredit(c);
+		this.context.calls().find(number).ifPresent((c) -> {
+			c.recordRead(offset);
+			this.messageHandler.grantCredit(c);
 		});
 	}
 
 	/**
-	 * Handle the caller's leaving.
-	 * @param number the call's number
+	 * Handle a disconnected caller.
+	 * @param number the call's number; ignored if no such call is open
 	 */
 	public void onCallerLeft(long number) {
-		this.parts.calls().find(number).ifPresent((c) -> {
+		this.context.calls().find(number).ifPresent((c) -> {
 			release(c);
-			this.end.close(c);
+			this.terminator.close(c);
 		});
 	}
 
 	/**
-	 * Handle a link's coming up.
-	 * @param target the target's name
-	 * @param incarnation the incarnation of its sidecar
-	 * @param now the time in milliseconds
+	 * Handle an established link to a sidecar.
+	 * @param target the name of the sidecar's target
+	 * @param incarnation the incarnation of the sidecar
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void onLinkUp(String target, long incarnation, long now) {
-		boolean isOther = this.parts.sidecars().linkUp(target, incarnation);
-		this.parts.targets().state(target).recordLinkUp(isOther);
-		for (Call call : this.parts.calls().at(target)) {
+		boolean isNewIncarnation = this.context.sidecars().recordUp(target, incarnation);
+		this.context.targets().state(target).recordLinkUp(isNewIncarnation);
+		for (Call call : this.context.calls().at(target)) {
 			switch (call.phase()) {
-				case CONNECTING -> this.attempts.submit(call, now);
-				case BARRING -> this.attempts.sendBar(call);
-				case REATTACHING -> this.attempts.sendAttach(call);
+				case CONNECTING -> this.dispatcher.submit(call, now);
+				case REVOKING -> this.dispatcher.sendRevocation(call);
+				case REATTACHING -> this.dispatcher.sendAttach(call);
 				default -> {
 				}
 			}
@@ -136,21 +138,21 @@
 	}
 
 	/**
-	 * Handle a link's loss.
-	 * @param target the target's name
-	 * @param now the time in milliseconds
+	 * Handle a lost link or a failed connection attempt.
+	 * @param target the name of the sidecar's target
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void onLinkDown(String target, long now) {
-		if (!this.parts.sidecars().linkDown(target)) {
-			connectFailed(target, now);
+		if (!this.context.sidecars().recordDown(target)) {
+			handleConnectFailure(target, now);
 			return;
 		}
-		this.parts.targets().state(target).recordLinkDown();
-		this.parts.targets().failed(target, "link lost", now);
-		for (Call call : this.parts.calls().at(target)) {
+		this.context.targets().state(target).recordLinkDown();
+		this.context.targets().reportFailure(target, "link lost", now);
+		for (Call call : this.context.calls().at(target)) {
 			switch (call.phase()) {
-				case SUBMITTED -> this.attempts.bar(call, now);
-				case READING -> this.attempts.reattach(call, now);
+				case SUBMITTED -> this.dispatcher.revoke(call, now);
+				case READING -> this.dispatcher.reattach(call, now);
 				default -> {
 				}
 			}
@@ -159,40 +161,40 @@
 
 	/**
 	 * Handle a message from a sidecar.
-	 * @param target the target's name
-	 * @param message the message
-	 * @param now the time in milliseconds
+	 * @param target the name of the sidecar's target
+	 * @param message the message; dropped if it belongs to no current stream
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void onMessage(String target, SidecarMessage message, long now) {
 		if (message instanceof SidecarMessage.Load load) {
-			this.parts.targets().state(target).recordReport(load.report(), now);
+			this.context.targets().state(target).recordReport(load.report(), now);
 			return;
 		}
 		if (message instanceof SidecarMessage.Farewell) {
-			onFarewell(target, now);
+			handleFarewell(target, now);
 			return;
 		}
 		if (!(message instanceof SidecarMessage.OfStream ofStream)) {
-			this.parts.counters().strays().increment();
+			this.context.counters().strays().increment();
 			return;
 		}
 		StreamId stream = ofStream.stream();
-		Optional<Call> call = this.parts.calls()
+		Optional<Call> call = this.context.calls()
 			.find(stream.call())
 			.filter((c) -> c.stream().equals(stream) && c.target().equals(target));
 		if (call.isEmpty()) {
-			this.parts.counters().strays().increment();
+			this.context.counters().strays().increment();
 			return;
 		}
-		this.answers.take(call.get(), ofStream, now);
+		this.messageHandler.handle(call.get(), ofStream, now);
 	}
 
 	/**
-	 * Do what is due.
-	 * @param now the time in milliseconds
+	 * Run the timers that have expired.
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void tick(long now) {
-		for (Call call : this.parts.calls().copyOfAll()) {
+		for (Call call : this.context.calls().copyOfAll()) {
 			if (now >= call.timer()) {
 				onTimer(call, now);
 			}
@@ -200,82 +202,82 @@
 	}
 
 	/**
-	 * Return how many calls are open.
-	 * @return the count
+	 * Return the number of open calls.
+	 * @return the number, at least 0
 	 */
 	public int openCalls() {
-		return this.parts.calls().size();
+		return this.context.calls().size();
 	}
 
 	/**
 	 * Return the incarnation of a target's sidecar.
-	 * @param target the target's name
-	 * @return the incarnation, or empty if its link is down
+	 * @param target the name of the sidecar's target
+	 * @return the incarnation, or empty if the link is down
 	 */
 	public Optional<Long> incarnation(String target) {
-		return this.parts.sidecars().incarnation(target);
+		return this.context.sidecars().incarnation(target);
 	}
 
 	/**
-	 * Return the counters.
-	 * @return the counters, readable from any thread
+	 * Return the counters of this coordinator.
+	 * @return the counters, which may be read by any thread
 	 */
 	public CallCounters counters() {
-		return this.parts.counters();
+		return this.context.counters();
 	}
 
 	private Call add(long number, CallRequest request, long now) {
 		Call call = new Call(number, request, now);
-		this.parts.calls().add(call);
-		this.parts.counters().opened().increment();
+		this.context.calls().add(call);
+		this.context.counters().opened().increment();
 		return call;
 	}
 
-	// Tells the sidecar that the caller left, if it knows of the call.
+	// Notifies the sidecar that the caller disconnected, if it may have the request.
 	private void release(Call call) {
-		boolean reachable = this.parts.sidecars().isUp(call.target());
+		boolean reachable = this.context.sidecars().isUp(call.target());
 		if (reachable && call.phase() != CallPhase.CONNECTING && call.phase() != CallPhase.BACKING_OFF) {
 			boolean mayReturn = call.request().mayReturn() && call.hasOutputBeenSeen();
-			this.parts.outputs().send(call.target(), new EntryMessage.Release(call.stream(), mayReturn));
+			this.context.outputs().send(call.target(), new EntryMessage.Release(call.stream(), mayReturn));
 		}
 	}
 
-	private void connectFailed(String target, long now) {
-		for (Call call : this.parts.calls().at(target)) {
+	private void handleConnectFailure(String target, long now) {
+		for (Call call : this.context.calls().at(target)) {
 			switch (call.phase()) {
 				case CONNECTING -> {
-					this.parts.targets().failed(target, "no link", now);
-					this.retries.attemptFailed(call, CallRefusals.notReached(), now);
+					this.context.targets().reportFailure(target, "connection failed", now);
+					this.retryHandler.handleFailedAttempt(call, CallRefusals.unreachable(), now);
 				}
-				case BARRING, REATTACHING -> this.parts.outputs().connect(target);
+				case REVOKING, REATTACHING -> this.context.outputs().connect(target);
 				default -> {
 				}
 			}
 		}
 	}
 
-	private void onFarewell(String target, long now) {
-		this.parts.targets().state(target).recordLeaving();
-		for (Call call : this.parts.calls().at(target)) {
-			if (call.phase() == CallPhase.SUBMITTED || call.phase() == CallPhase.BARRING) {
-				this.retries.attemptFailed(call, CallRefusals.unansweredAtEnd(call), now);
+	private void handleFarewell(String target, long now) {
+		this.context.targets().state(target).recordLeaving();
+		for (Call call : this.context.calls().at(target)) {
+			if (call.phase() == CallPhase.SUBMITTED || call.phase() == CallPhase.REVOKING) {
+				this.retryHandler.handleFailedAttempt(call, CallRefusals.unansweredAtShutdown(call), now);
 			}
 		}
 	}
 
 	private void onTimer(Call call, long now) {
 		switch (call.phase()) {
-			case BACKING_OFF -> this.attempts.route(call, now);
+			case BACKING_OFF -> this.dispatcher.route(call, now);
 			case CONNECTING -> {
-				this.parts.targets().failed(call.target(), "no link in time", now);
-				this.retries.attemptFailed(call, CallRefusals.notReached(), now);
+				this.context.targets().reportFailure(call.target(), "connect timeout expired", now);
+				this.retryHandler.handleFailedAttempt(call, CallRefusals.unreachable(), now);
 			}
 			case SUBMITTED -> {
-				this.parts.targets().failed(call.target(), "no answer in time", now);
-				this.attempts.bar(call, now);
+				this.context.targets().reportFailure(call.target(), "no answer from the sidecar", now);
+				this.dispatcher.revoke(call, now);
 			}
-			case BARRING -> this.retries.attemptFailed(call, CallRefusals.barUnanswered(), now);
-			case REATTACHING -> this.retries.attemptFailed(call, CallRefusals.lostWhileReading(call), now);
+			case REVOKING -> this.retryHandler.handleFailedAttempt(call, CallRefusals.revocationUnanswered(), now);
+			case REATTACHING -> this.retryHandler.handleFailedAttempt(call, CallRefusals.lostWhileReading(call), now);
 			case READING -> call.enter(CallPhase.READING, Call.NO_TIMER);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCounters.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCounters.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what a {@link CallCoordinator} did since the start; may be read from any thread.
+ * Counters of a {@link CallCoordinator} since its start. May be read by any thread.
  *
  * @since 0.1
  */
@@ -24,56 +24,57 @@
 	private final LongAdder reattached = new LongAdder();
 
 	/**
-	 * Return the calls opened.
-	 * @return the counter
+	 * Return the counter of opened calls.
+	 * @return a live counter
 	 */
 	public LongAdder opened() {
 		return this.opened;
 	}
 
 	/**
-	 * Return the calls whose output was delivered whole.
-	 * @return the counter
+	 * Return the counter of calls whose output was delivered completely.
+	 * @return a live counter
 	 */
 	public LongAdder finished() {
 		return this.finished;
 	}
 
 	/**
-	 * Return the calls that got a refusal.
-	 * @return the counter
+	 * Return the counter of refused calls.
+	 * @return a live counter
 	 */
 	public LongAdder refused() {
 		return this.refused;
 	}
 
 	/**
-	 * Return the attempts after the first.
-	 * @return the counter
+	 * Return the counter of attempts after the first one of a call.
+	 * @return a live counter
 	 */
 	public LongAdder retried() {
 		return this.retried;
 	}
 
 	/**
-	 * Return the pieces of output delivered.
-	 * @return the counter
+	 * Return the counter of output chunks delivered to callers.
+	 * @return a live counter
 	 */
 	public LongAdder delivered() {
 		return this.delivered;
 	}
 
 	/**
-	 * Return the messages that came late or crossed another and were dropped.
-	 * @return the counter
+	 * Return the counter of messages dropped because they were stale, duplicate or out of
+	 * order.
+	 * @return a live counter
 	 */
 	public LongAdder strays() {
 		return this.strays;
 	}
 
 	/**
-	 * Return how often a generation was asked for again.
-	 * @return the counter
+	 * Return the counter of reattachments to a generation.
+	 * @return a live counter
 	 */
 	public LongAdder reattached() {
 		return this.reattached;
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallOutputs.java
@@ -6,7 +6,7 @@
 import dev.laneworks.core.verdict.Refusal;
 
 /**
- * What a {@link CallCoordinator} asks of the world.
+ * Callbacks by which a {@link CallCoordinator} reaches sidecars and callers.
  * <p>
  * No method may call back into the coordinator before it returns.
  *
@@ -15,46 +15,46 @@
 public interface CallOutputs {
 
 	/**
-	 * Bring up a link to a target's sidecar.
-	 * @param target the target's name
+	 * Connect to a target's sidecar.
+	 * @param target the name of the sidecar's target
 	 */
 	void connect(String target);
 
 	/**
 	 * Send a message to a sidecar.
-	 * @param target the target's name
-	 * @param message the message
+	 * @param target the name of the sidecar's target, whose link is up
+	 * @param message the message, about one of the entry's streams
 	 */
 	void send(String target, EntryMessage message);
 
 	/**
-	 * Tell the caller's side which generation it reads.
-	 * @param call the call
-	 * @param position the position of the first piece that will be delivered
-	 * @param route why it runs there
+	 * Announce to the caller's side which generation the call reads.
+	 * @param call the call's number
+	 * @param position the position of the first chunk that will be delivered
+	 * @param route the reason for the choice of the target
 	 */
 	void accepted(long call, StreamPosition position, String route);
 
 	/**
-	 * Give the caller a piece of output.
-	 * @param call the call
-	 * @param offset the number of pieces before it
-	 * @param data the output
+	 * Deliver a chunk of output to the caller.
+	 * @param call the call's number
+	 * @param offset the number of chunks before this one
+	 * @param data the bytes of the chunk; must not be modified
 	 */
 	void deliver(long call, long offset, byte[] data);
 
 	/**
-	 * Tell the caller that its output is whole.
-	 * @param call the call
-	 * @param total the number of pieces of the whole output
+	 * Complete the caller's output.
+	 * @param call the call's number
+	 * @param total the number of chunks of the complete output
 	 * @param reason why the output ended
 	 */
 	void finish(long call, long total, FinishReason reason);
 
 	/**
-	 * Give the caller a final answer other than a whole output.
-	 * @param call the call
-	 * @param refusal the answer
+	 * End the call without complete output.
+	 * @param call the call's number
+	 * @param refusal the final answer to the caller
 	 */
 	void refuse(long call, Refusal refusal);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallPhase.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallPhase.java
@@ -1,26 +1,26 @@
 package dev.laneworks.core.call;
 
 /**
- * Where a call stands at its entry.
+ * Phase of an open {@link Call}.
  */
 enum CallPhase {
 
-	/** It waits before the next attempt. */
+	/** Waiting for the delay before the next attempt. */
 	BACKING_OFF,
 
-	/** A target is chosen but its link is not up; nothing was sent. */
+	/** A target is selected but its link is down; nothing was sent. */
 	CONNECTING,
 
-	/** The request was sent and nothing was heard of it. */
+	/** The request was sent and has not been answered. */
 	SUBMITTED,
 
-	/** The sidecar took it on. */
+	/** The sidecar accepted the request and its output is being read. */
 	READING,
 
-	/** The sidecar was or will be asked to bar it. */
-	BARRING,
+	/** The attempt is being revoked, or will be once the link is up. */
+	REVOKING,
 
-	/** The link is lost, or the sidecar was asked for the generation's output again. */
+	/** The link is down, or the rest of the generation's output was requested. */
 	REATTACHING
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallRefusals.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallRefusals.java
@@ -8,56 +8,54 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * Words the refusals that an entry gives by itself.
+ * Factory of the refusals that originate at an entry.
  */
 final class CallRefusals {
 
-	/**
-	 * The wait told to callers for whom there is no target now; a chosen figure.
-	 */
+	/** Retry delay of callers for whom no target is available. */
 	private static final Duration NO_TARGET_RETRY = Duration.ofSeconds(1);
 
 	private CallRefusals() {
 	}
 
 	static Refusal noTarget() {
-		return Refusal.notRun(RefusalReason.NO_TARGET, "no target can take the request now", NO_TARGET_RETRY);
+		return Refusal.notRun(RefusalReason.NO_TARGET, "no target can accept the request now", NO_TARGET_RETRY);
 	}
 
-	static Refusal notReached() {
+	static Refusal unreachable() {
 		return Refusal.notRun(RefusalReason.LINK_LOST, "the sidecar could not be reached", NO_TARGET_RETRY);
 	}
 
 	static Refusal waitTooLong() {
-		return Refusal.notRun(RefusalReason.WAIT_TOO_LONG, "no place came free within the caller's patience",
+		return Refusal.notRun(RefusalReason.WAIT_TOO_LONG, "no slot became free before the caller's timeout",
 				NO_TARGET_RETRY);
 	}
 
-	static Refusal barred() {
-		return Refusal.notRun(RefusalReason.WITHDRAWN, "the sidecar did not answer in time and the attempt was barred",
+	static Refusal revoked() {
+		return Refusal.notRun(RefusalReason.WITHDRAWN, "the sidecar did not answer in time and the attempt was revoked",
 				NO_TARGET_RETRY);
 	}
 
-	static Refusal barUnknown() {
+	static Refusal revocationUnknown() {
 		return Refusal.mayHaveRun(RefusalReason.LINK_LOST,
-				"the sidecar was replaced and can't tell whether the request ran");
+				"the sidecar was replaced and it is unknown whether the request ran");
 	}
 
-	static Refusal barUnanswered() {
+	static Refusal revocationUnanswered() {
 		return Refusal.mayHaveRun(RefusalReason.LINK_LOST,
-				"the sidecar was lost before it said whether the request runs");
+				"the sidecar was lost before it reported whether the request ran");
 	}
 
-	// For a call without an answer from a sidecar that ended.
-	static Refusal unansweredAtEnd(Call call) {
-		if (call.wasHeardWhileBarring()) {
-			return Refusal.mayHaveRun(RefusalReason.LEAVING, "the sidecar ended after it took the request on");
+	// For a call that was unanswered when its sidecar shut down.
+	static Refusal unansweredAtShutdown(Call call) {
+		if (call.wasAnsweredWhileRevoking()) {
+			return Refusal.mayHaveRun(RefusalReason.LEAVING, "the sidecar ended after it accepted the request");
 		}
 		return Refusal.notRun(RefusalReason.LEAVING, "the sidecar ended without reading the request", NO_TARGET_RETRY);
 	}
 
 	static Refusal lostWhileReading(Call call) {
-		String detail = "the sidecar was lost; the generation may go on and can be resumed by its position";
+		String detail = "the sidecar was lost; the generation may continue and can be resumed at its position";
 		return new Refusal(call.hasOutputBeenSeen() ? Verdict.RAN : Verdict.MAY_HAVE_RUN, RefusalReason.LINK_LOST,
 				detail, Optional.of(NO_TARGET_RETRY));
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallRequest.java
@@ -7,13 +7,13 @@
 import dev.laneworks.core.message.Work;
 
 /**
- * A caller's request as the entry takes it on.
+ * Request of a caller with the properties that routing needs.
  *
  * @param work the request for the sidecar
- * @param intent the intent that it falls under
- * @param prefixHash the hash of the prompt's beginning, or 0
- * @param ticketTarget the target that the caller's ticket names
- * @param mayReturn whether a caller that leaves may come back for the rest
+ * @param intent the intent that the request falls under
+ * @param prefixHash the hash of the beginning of the prompt, or 0
+ * @param ticketTarget the target named by the caller's ticket, or empty without a ticket
+ * @param mayReturn whether a disconnected caller may resume the output later
  * @since 0.1
  */
 public record CallRequest(Work work, Intent intent, long prefixHash, Optional<String> ticketTarget, boolean mayReturn) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallSettings.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallSettings.java
@@ -1,15 +1,15 @@
 package dev.laneworks.core.call;
 
 /**
- * The bounds and times of a {@link CallCoordinator}; times in milliseconds.
+ * Limits and timeouts of a {@link CallCoordinator}. All times are in milliseconds.
  *
- * @param connectMillis how long a link may take to come up before another target is tried
- * @param dispatchMillis how long a sidecar may take to answer a request before it is
- * asked to bar it
- * @param barMillis how long an answer to that may take, link recovery included
- * @param reattachMillis how long a lost generation may take to be reached again
- * @param maxAttempts the most attempts for one request
- * @param window the pieces of output that may be under way to a caller
+ * @param connectMillis the timeout of a connection, after which another target is tried
+ * @param dispatchMillis the timeout of a sidecar's first answer, after which the attempt
+ * is revoked
+ * @param barMillis the timeout of a revocation, including the recovery of the link
+ * @param reattachMillis the timeout of a reattachment to a generation
+ * @param maxAttempts the maximum number of attempts for one request, at least 1
+ * @param window the maximum number of output chunks in flight to a caller, at least 1
  * @since 0.1
  */
 public record CallSettings(long connectMillis, long dispatchMillis, long barMillis, long reattachMillis,
@@ -23,8 +23,8 @@
 	}
 
 	/**
-	 * Return settings that suit links within a region.
-	 * @return the settings
+	 * Return the default settings, which suit links within a region.
+	 * @return settings with the default limits and timeouts
 	 */
 	public static CallSettings defaults() {
 		return new CallSettings(1_000, 1_000, 2_000, 5_000, 3, 64);
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallEnd.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallTerminator.java
@@ -9,38 +9,37 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * Ends calls: closes them, and tells their callers of refusals.
+ * Ends calls: closes them and sends refusals to their callers.
  */
-final class CallEnd {
+final class CallTerminator {
 
-	private final CallParts parts;
+	private final CallContext context;
 
 	private final Backoff backoff;
 
-	CallEnd(CallParts parts, Backoff backoff) {
-		this.parts = parts;
+	CallTerminator(CallContext context, Backoff backoff) {
+		this.context = context;
 		this.backoff = backoff;
 	}
 
 	void refuse(Call call, Refusal refusal) {
-		Verdict verdict = call.worsen(refusal.verdict());
-		this.parts.counters().refused().increment();
-		this.parts.audit()
+		Verdict verdict = call.mergeVerdict(refusal.verdict());
+		this.context.counters().refused().increment();
+		this.context.audit()
 			.record(new AuditEvent(AuditKind.REFUSED, call.work().requestId(), call.work().account(), call.target(),
 					verdict.label() + ", " + refusal.reason().label() + ": " + refusal.detail()));
 		close(call);
-		this.parts.outputs()
+		this.context.outputs()
 			.refuse(call.number(),
 					new Refusal(verdict, refusal.reason(), refusal.detail(), refusal.retryAfter().map(this::spread)));
 	}
 
 	void close(Call call) {
-		this.parts.targets().settle(call);
-		this.parts.calls().remove(call);
+		this.context.targets().markSettled(call);
+		this.context.calls().remove(call);
 	}
 
-	// Callers that were refused together do not come back together, and none comes back
-	// too early.
+	// Adds jitter, never a reduction, so that refused callers do not retry all at once.
 	private Duration spread(Duration retryAfter) {
 		return retryAfter.plusMillis(this.backoff.spread(retryAfter.toMillis()) / 2);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/FixedTargets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/FixedTargets.java
@@ -7,7 +7,7 @@
 import dev.laneworks.core.routing.Route;
 
 /**
- * Finds the one target of a call that may not go elsewhere.
+ * Finds the only permitted target of a call with a once key.
  */
 final class FixedTargets {
 
@@ -17,7 +17,7 @@
 		this.configuration = newConfiguration;
 	}
 
-	// The target that the call's ticket names, or the home of its key.
+	// Returns the target named by the call's ticket, or the home of its key.
 	Optional<Route> find(Call call) {
 		if (this.configuration == null) {
 			return Optional.empty();
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/OpenCalls.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/OpenCalls.java
@@ -7,16 +7,15 @@
 import java.util.Optional;
 
 /**
- * Holds the open calls by number.
+ * Open calls of an entry by number, in the order of their opening.
  */
 final class OpenCalls {
 
 	private final Map<Long, Call> calls = new LinkedHashMap<>();
 
-	// Adds a call, whose number must not be in use.
 	void add(Call call) {
 		if (this.calls.putIfAbsent(call.number(), call) != null) {
-			throw new IllegalArgumentException("call " + call.number() + " is open already");
+			throw new IllegalArgumentException("call " + call.number() + " is already open");
 		}
 	}
 
@@ -28,7 +27,7 @@
 		return Optional.ofNullable(this.calls.get(number));
 	}
 
-	// A copy, for callers that close calls on their way.
+	// A copy, so that calls can be closed during an iteration.
 	List<Call> copyOfAll() {
 		return new ArrayList<>(this.calls.values());
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/Retries.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/RetryHandler.java
@@ -9,11 +9,11 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * Decides whether a call whose attempt failed goes on with another.
+ * Retries or refuses a call after a failed attempt.
  */
-final class Retries {
+final class RetryHandler {
 
-	private final CallParts parts;
+	private final CallContext context;
 
 	private final RetryBudget budget;
 
@@ -21,49 +21,50 @@
 
 	private final FixedTargets fixedTargets;
 
-	private final Attempts attempts;
+	private final AttemptDispatcher dispatcher;
 
-	private final CallEnd end;
+	private final CallTerminator terminator;
 
-	Retries(CallParts parts, RetryBudget budget, Backoff backoff, FixedTargets fixedTargets, Attempts attempts,
-			CallEnd end) {
-		this.parts = parts;
+	RetryHandler(CallContext context, RetryBudget budget, Backoff backoff, FixedTargets fixedTargets,
+			AttemptDispatcher dispatcher, CallTerminator terminator) {
+		this.context = context;
 		this.budget = budget;
 		this.backoff = backoff;
 		this.fixedTargets = fixedTargets;
-		this.attempts = attempts;
-		this.end = end;
+		this.dispatcher = dispatcher;
+		this.terminator = terminator;
 	}
 
 	/**
-	 * Make another attempt, now or later, or refuse the call.
-	 * @param call the call
-	 * @param refusal why the attempt failed
-	 * @param now the time in milliseconds
+	 * Handle a failed attempt: retry immediately, retry after a delay, or refuse the
+	 * call.
+	 * @param call the call, in any phase
+	 * @param refusal the reason for the failure
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void attemptFailed(Call call, Refusal refusal, long now) {
-		this.parts.targets().settle(call);
-		Verdict verdict = call.worsen(refusal.verdict());
-		boolean free = refusal.reason() == RefusalReason.LEAVING;
-		if (!mayTryAgain(call, refusal, now) || (!free && !this.budget.tryTake(now))) {
-			this.end.refuse(call, refusal);
+	void handleFailedAttempt(Call call, Refusal refusal, long now) {
+		this.context.targets().markSettled(call);
+		Verdict verdict = call.mergeVerdict(refusal.verdict());
+		boolean exemptFromBudget = refusal.reason() == RefusalReason.LEAVING;
+		if (!mayRetry(call, refusal, now) || (!exemptFromBudget && !this.budget.tryTake(now))) {
+			this.terminator.refuse(call, refusal);
 			return;
 		}
-		call.excluded().add(call.target());
-		this.parts.counters().retried().increment();
-		this.parts.audit()
+		call.excludedTargets().add(call.target());
+		this.context.counters().retried().increment();
+		this.context.audit()
 			.record(new AuditEvent(AuditKind.RETRIED, call.work().requestId(), call.work().account(), call.target(),
 					verdict.label() + ": " + refusal.detail()));
-		if (free || call.attempts() < 2) {
-			this.attempts.route(call, now);
+		if (exemptFromBudget || call.attempts() < 2) {
+			this.dispatcher.route(call, now);
 			return;
 		}
 		call.enter(CallPhase.BACKING_OFF, now + this.backoff.delayMillis(call.attempts() - 1));
 	}
 
-	private boolean mayTryAgain(Call call, Refusal refusal, long now) {
+	private boolean mayRetry(Call call, Refusal refusal, long now) {
 		return refusal.verdict().allowsAnotherAttempt(call.work().repeatable(), call.hasOutputBeenSeen())
-				&& isWorthRetrying(call, refusal) && call.attempts() < this.parts.settings().maxAttempts()
+				&& isWorthRetrying(call, refusal) && call.attempts() < this.context.settings().maxAttempts()
 				&& now < call.firstOutputDeadline();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/TargetRecords.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/TargetOutcomes.java
@@ -7,15 +7,15 @@
 import dev.laneworks.core.routing.TargetState;
 
 /**
- * Records how calls fare at targets, and when a target is set aside or taken back for it.
+ * Records the outcomes of attempts per target and audits changes of a target's ejection.
  */
-final class TargetRecords {
+final class TargetOutcomes {
 
 	private final TargetBoard board;
 
 	private final AuditSink audit;
 
-	TargetRecords(TargetBoard board, AuditSink audit) {
+	TargetOutcomes(TargetBoard board, AuditSink audit) {
 		this.board = board;
 		this.audit = audit;
 	}
@@ -24,28 +24,28 @@
 		return this.board.state(target);
 	}
 
-	void sent(Call call) {
+	void markSent(Call call) {
 		call.setCountedInFlight(true);
 		state(call.target()).recordSent();
 	}
 
-	// Takes that a call has nothing under way at its target any more.
-	void settle(Call call) {
+	// Records that the call no longer has a request in flight at its target.
+	void markSettled(Call call) {
 		if (call.isCountedInFlight()) {
 			call.setCountedInFlight(false);
 			state(call.target()).recordDone();
 		}
 	}
 
-	void failed(String target, String cause, long now) {
+	void reportFailure(String target, String cause, long now) {
 		if (state(target).health().recordFailure(now)) {
-			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target, target, "set aside: " + cause));
+			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target, target, "ejected: " + cause));
 		}
 	}
 
-	void succeeded(String target) {
+	void reportSuccess(String target) {
 		if (state(target).health().recordSuccess()) {
-			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target, target, "taken back"));
+			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target, target, "ejection ended"));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/package-info.java
@@ -1,4 +1,5 @@
 /**
- * An entry's side of a request, from the caller to one generation at one target.
+ * State machine of an entry's calls to sidecars, with revocation, retries and
+ * reattachment.
  */
 package dev.laneworks.core.call;
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -32,7 +32,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link CallCoordinator}.
+ * Tests for {@link CallCoordinator}. They guard against output delivered twice or out of
+ * order, and against retries of requests that may have run.
  */
 class CallCoordinatorTests {
 
@@ -73,7 +74,7 @@
 	}
 
 	@Test
-	void dropsLateAndCrossedMessages() {
+	void dropsStaleAndMismatchedMessages() {
 		open(true);
 		accept("t1", FIRST);
 		chunk("t2", FIRST, 0);
@@ -84,7 +85,7 @@
 	}
 
 	@Test
-	void asksAgainWhenAPieceIsMissingOrTheCountIsWrong() {
+	void reattachesWhenAChunkIsMissingOrTheTotalDiffers() {
 		open(true);
 		accept("t1", FIRST);
 		chunk("t1", FIRST, 0);
@@ -98,7 +99,7 @@
 	}
 
 	@Test
-	void triesElsewhereWhatDidNotRun() {
+	void retriesAtAnotherTargetWhenTheAttemptDidNotRun() {
 		open(false);
 		refuse("t1", FIRST, FULL);
 		assertThat(this.outputs.lastTarget()).isEqualTo("t2");
@@ -106,7 +107,7 @@
 	}
 
 	@Test
-	void givesUpAtOnceAndSaysWhenToComeBack() {
+	void refusesWithRetryAfterOnceAttemptsAreExhausted() {
 		open(false);
 		refuse("t1", FIRST, FULL);
 		refuse("t2", SECOND, FULL);
@@ -119,14 +120,14 @@
 	}
 
 	@Test
-	void neverRepeatsWhatMayHaveRunUnlessItIsRepeatable() {
+	void doesNotRetryNonRepeatableRequestThatMayHaveRun() {
 		open(false);
 		refuse("t1", FIRST, Refusal.mayHaveRun(RefusalReason.TARGET_LOST, "lost"));
 		assertThat(this.outputs.refusal.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
 	@Test
-	void theFinalVerdictCoversAllAttempts() {
+	void refusesWithTheWorstVerdictOfAllAttempts() {
 		open(true);
 		refuse("t1", FIRST, Refusal.mayHaveRun(RefusalReason.TARGET_LOST, "lost"));
 		refuse("t2", SECOND, Refusal.never(RefusalReason.BAD_REQUEST, "no"));
@@ -135,7 +136,7 @@
 	}
 
 	@Test
-	void barsAnAttemptThatIsNotHeardOfBeforeTheNext() {
+	void revokesAnUnansweredAttemptBeforeTheNext() {
 		open(false);
 		this.coordinator.tick(100);
 		EntryMessage.Bar bar = (EntryMessage.Bar) this.outputs.lastSent();
@@ -146,7 +147,7 @@
 	}
 
 	@Test
-	void readsOnWhenTheBarCameTooLate() {
+	void reattachesWhenTheAttemptRanBeforeItsRevocation() {
 		open(false);
 		this.coordinator.tick(100);
 		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, BarOutcome.HAS_RUN), 110);
@@ -157,7 +158,7 @@
 	}
 
 	@Test
-	void saysMayHaveRunWhenTheSidecarWasReplacedOrStaysSilent() {
+	void refusesAsMayHaveRunWhenTheSidecarWasReplaced() {
 		open(false);
 		this.coordinator.onLinkDown("t1", 10);
 		this.coordinator.onLinkUp("t1", 99, 20);
@@ -167,7 +168,7 @@
 	}
 
 	@Test
-	void takesAFarewellForNotRunOnlyIfNothingWasHeard() {
+	void treatsUnansweredAttemptAsNotRunAfterFarewell() {
 		open(false);
 		this.coordinator.onMessage("t1", new SidecarMessage.Farewell(), 10);
 		assertThat(this.outputs.lastTarget()).isEqualTo("t2");
@@ -178,7 +179,7 @@
 	}
 
 	@Test
-	void findsItsGenerationAgainAfterTheLinkWasLost() {
+	void reattachesToItsGenerationAfterALostLink() {
 		open(true);
 		accept("t1", FIRST);
 		chunk("t1", FIRST, 0);
@@ -191,7 +192,7 @@
 	}
 
 	@Test
-	void endsClearlyAndNeverRunsAgainOnceOutputWasSeen() {
+	void refusesWithoutRetryOnceOutputWasDelivered() {
 		open(true);
 		accept("t1", FIRST);
 		chunk("t1", FIRST, 0);
@@ -202,7 +203,7 @@
 	}
 
 	@Test
-	void whatWasReadWhileTheGenerationWasSoughtBecomesCredit() {
+	void grantsCreditForOutputReadDuringReattachment() {
 		open(true);
 		accept("t1", FIRST);
 		for (int i = 0; i < 8; i++) {
@@ -216,7 +217,7 @@
 	}
 
 	@Test
-	void tellsTheSidecarThatTheCallerLeft() {
+	void releasesTheGenerationWhenTheCallerDisconnects() {
 		open(true);
 		accept("t1", FIRST);
 		this.coordinator.onCallerLeft(1);
@@ -225,7 +226,7 @@
 	}
 
 	@Test
-	void aTargetWithoutALinkCostsNoRequest() {
+	void submitsNothingWithoutALink() {
 		this.coordinator.onLinkDown("t1", 1);
 		open(false);
 		assertThat(this.outputs.submits).isEqualTo(0);
@@ -254,7 +255,7 @@
 	}
 
 	/**
-	 * Records what the coordinator asks.
+	 * Records the calls of the coordinator.
 	 */
 	private static final class Recording implements CallOutputs {
 
@@ -278,7 +279,7 @@
 
 		@Override
 		public void connect(String target) {
-			// Links come up when the test says so.
+			// Tests establish links explicitly.
 		}
 
 		@Override
