--- a/laneworks-core/src/main/java/dev/laneworks/core/message/BarOutcome.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/BarOutcome.java
@@ -1,19 +1,19 @@
 package dev.laneworks.core.message;
 
 /**
- * What a sidecar answers when it is asked to bar an attempt.
+ * Result of the revocation of an attempt or a key at a sidecar.
  *
  * @since 0.1
  */
 public enum BarOutcome {
 
-	/** The attempt had not run and can't run any more. */
+	/** The attempt has not run and will not run. */
 	BARRED,
 
-	/** The attempt runs or has run; its reader may attach to it. */
+	/** The attempt is running or has run; its output can be requested. */
 	HAS_RUN,
 
-	/** The sidecar can't tell. */
+	/** The sidecar cannot determine whether the attempt ran. */
 	UNKNOWN
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/ConfigurationMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/ConfigurationMessage.java
@@ -1,25 +1,25 @@
 package dev.laneworks.core.message;
 
 /**
- * A message by which peers keep each other's configuration up to date.
+ * Message between peers that distributes the configuration.
  *
  * @since 0.1
  */
 public sealed interface ConfigurationMessage {
 
 	/**
-	 * Says which configuration is in force at the sender.
+	 * Announces the configuration in force at the sender.
 	 *
 	 * @param version the version, or 0 for none
-	 * @param confirmedAgeMillis how long ago the service was heard to hold it, or
-	 * {@link Long#MAX_VALUE} for never
+	 * @param confirmedAgeMillis the time since the service confirmed the version, in
+	 * milliseconds, or {@link Long#MAX_VALUE} if it never did
 	 */
 	record Notice(long version, long confirmedAgeMillis) implements ConfigurationMessage {
 
 	}
 
 	/**
-	 * Asks for the document in force.
+	 * Requests the document in force.
 	 */
 	record Request() implements ConfigurationMessage {
 
@@ -28,8 +28,8 @@
 	/**
 	 * Carries the document in force.
 	 *
-	 * @param version the version
-	 * @param text the document
+	 * @param version the version of the document
+	 * @param text the text of the document
 	 */
 	record Text(long version, String text) implements ConfigurationMessage {
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
@@ -1,17 +1,17 @@
 package dev.laneworks.core.message;
 
 /**
- * A message from an entry to a sidecar.
+ * Message from an entry to a sidecar.
  *
  * @since 0.1
  */
 public sealed interface EntryMessage {
 
 	/**
-	 * Asks to run a request.
+	 * Submits a request for execution.
 	 *
 	 * @param stream the attempt
-	 * @param work the request
+	 * @param work the request to execute
 	 * @param creditLimit the first offset that must not be sent yet
 	 */
 	record Submit(StreamId stream, Work work, long creditLimit) implements EntryMessage {
@@ -19,12 +19,12 @@
 	}
 
 	/**
-	 * Asks for the output of a generation from an offset on.
+	 * Requests the output of a generation from an offset onwards.
 	 *
 	 * @param stream the attempt
 	 * @param generation the generation's name
-	 * @param incarnation the incarnation of the sidecar that started it
-	 * @param offset the first offset wanted
+	 * @param incarnation the incarnation of the sidecar that started the generation
+	 * @param offset the first offset to send
 	 * @param creditLimit the first offset that must not be sent yet
 	 */
 	record Attach(StreamId stream, String generation, long incarnation, long offset,
@@ -33,11 +33,11 @@
 	}
 
 	/**
-	 * Asks to make sure that an attempt does not run if it has not run yet.
+	 * Revokes an attempt so that it does not run unless it has run already.
 	 *
 	 * @param stream the attempt
-	 * @param attemptName the name of the attempt, as {@link Work#attemptName} gives it
-	 * @param generation the name the attempt's generation would have
+	 * @param attemptName the name of the attempt, as returned by {@link Work#attemptName}
+	 * @param generation the name that the attempt's generation would have
 	 * @param incarnation the incarnation of the sidecar that the attempt was sent to
 	 */
 	record Bar(StreamId stream, String attemptName, String generation, long incarnation) implements EntryMessage {
@@ -45,17 +45,17 @@
 	}
 
 	/**
-	 * Says that nobody reads the attempt's output any more.
+	 * Announces that the attempt's output is no longer read.
 	 *
 	 * @param stream the attempt
-	 * @param mayReturn whether the caller may come back for the rest
+	 * @param mayReturn whether the caller may resume the output later
 	 */
 	record Release(StreamId stream, boolean mayReturn) implements EntryMessage {
 
 	}
 
 	/**
-	 * Allows more output.
+	 * Grants credit for more output.
 	 *
 	 * @param stream the attempt
 	 * @param creditLimit the first offset that must not be sent yet
@@ -65,16 +65,16 @@
 	}
 
 	/**
-	 * Asks for a load report.
+	 * Requests a load report.
 	 */
 	record Probe() implements EntryMessage {
 
 	}
 
 	/**
-	 * Asks a former home of a key to bar it.
+	 * Revokes a key at its former home.
 	 *
-	 * @param key the key
+	 * @param key the key that must not run there any more
 	 */
 	record BarKey(OnceKey key) implements EntryMessage {
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/FinishReason.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/FinishReason.java
@@ -1,16 +1,16 @@
 package dev.laneworks.core.message;
 
 /**
- * Why a generation ended by itself.
+ * Reason why a generation ended normally.
  *
  * @since 0.1
  */
 public enum FinishReason {
 
-	/** The model ended its output. */
+	/** The model completed its output. */
 	STOP("stop"),
 
-	/** The output reached the most tokens it may have. */
+	/** The output reached the maximum number of tokens. */
 	LENGTH("length");
 
 	private final String label;
@@ -20,8 +20,8 @@
 	}
 
 	/**
-	 * Return the form that callers see.
-	 * @return the label
+	 * Return the label used in answers to callers.
+	 * @return the label in lower case
 	 */
 	public String label() {
 		return this.label;
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/LoadReport.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/LoadReport.java
@@ -1,13 +1,13 @@
 package dev.laneworks.core.message;
 
 /**
- * What a sidecar says of its target's load.
+ * Load of a target as reported by its sidecar.
  *
  * @param running the number of running generations or calls
- * @param queued the number of requests that wait for admission
- * @param usedTokens the tokens held in the engine's memory
- * @param capacityTokens the tokens that the engine's memory holds at most
- * @param leaving whether the target takes no new work
+ * @param queued the number of requests waiting for admission
+ * @param usedTokens the number of tokens in the engine's memory
+ * @param capacityTokens the capacity of the engine's memory, in tokens
+ * @param leaving whether the target is draining and accepts no new requests
  * @since 0.1
  */
 public record LoadReport(int running, int queued, long usedTokens, long capacityTokens, boolean leaving) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/OnceKey.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/OnceKey.java
@@ -7,17 +7,18 @@
 import java.util.Objects;
 
 /**
- * Names a request that is not repeatable, across all of its caller's tries.
+ * Idempotency key of a request that may run at most once, shared by all retries of its
+ * caller.
  *
  * @param account the client account that chose the key
- * @param key the caller's key, or the identity of a ticket
- * @param ticketIncarnation the incarnation of the sidecar that a ticket names, or
+ * @param key the caller's key, or the identity of a ticket; not empty
+ * @param ticketIncarnation the incarnation of the sidecar named by a ticket, or
  * {@link #NO_TICKET}
  * @since 0.1
  */
 public record OnceKey(String account, String key, long ticketIncarnation) {
 
-	/** Stands for a key that came without a ticket. */
+	/** Incarnation of a key without a ticket. */
 	public static final long NO_TICKET = 0L;
 
 	private static final int NAME_BYTES = 16;
@@ -31,16 +32,16 @@
 	}
 
 	/**
-	 * Return whether the key belongs to a ticket.
-	 * @return {@code true} if a ticket names the home
+	 * Determine whether the key belongs to a ticket.
+	 * @return {@code true} if a ticket names the home of the key
 	 */
 	public boolean hasTicket() {
 		return this.ticketIncarnation != NO_TICKET;
 	}
 
 	/**
-	 * Return the name of the one generation that may run for this key.
-	 * @return a name that is the same at every instance
+	 * Return the name of the only generation that may run for this key.
+	 * @return a name derived from the account and the key, the same at every instance
 	 */
 	public String generationName() {
 		byte[] digest = sha256().digest((this.account + '\0' + this.key).getBytes(StandardCharsets.UTF_8));
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
@@ -3,52 +3,52 @@
 import dev.laneworks.core.verdict.Refusal;
 
 /**
- * A message from a sidecar to an entry.
+ * Message from a sidecar to an entry.
  *
  * @since 0.1
  */
 public sealed interface SidecarMessage {
 
 	/**
-	 * A message about one attempt.
+	 * Message about one attempt.
 	 */
 	sealed interface OfStream extends SidecarMessage {
 
 		/**
 		 * Return the attempt that the message is about.
-		 * @return the attempt
+		 * @return the call and the attempt, as the entry numbers them
 		 */
 		StreamId stream();
 
 	}
 
 	/**
-	 * Says that the sidecar took the attempt on.
+	 * Announces that the sidecar accepted the attempt.
 	 *
 	 * @param stream the attempt
 	 * @param generation the generation's name
-	 * @param queued the number of requests ahead of it
+	 * @param queued the number of requests ahead of it in the queue
 	 */
 	record Accepted(StreamId stream, String generation, int queued) implements OfStream {
 
 	}
 
 	/**
-	 * Carries one piece of output.
+	 * Carries one chunk of output.
 	 *
 	 * @param stream the attempt
-	 * @param offset the number of pieces before it
-	 * @param data the output; not copied, must not be changed
+	 * @param offset the number of chunks before this one
+	 * @param data the bytes of the chunk; not copied, must not be modified
 	 */
 	record Chunk(StreamId stream, long offset, byte[] data) implements OfStream {
 
 	}
 
 	/**
-	 * Says that the output is whole.
+	 * Completes the output.
 	 *
 	 * @param stream the attempt
-	 * @param total the number of pieces of the whole output
+	 * @param total the number of chunks of the complete output
 	 * @param reason why the output ended
 	 */
 	record End(StreamId stream, long total, FinishReason reason) implements OfStream {
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Says that there is no output, or no more of it.
+	 * Announces that there is no output or no further output.
 	 *
 	 * @param stream the attempt
 	 * @param refusal the final answer
@@ -69,24 +69,24 @@
 	 * Answers {@link EntryMessage.Bar}.
 	 *
 	 * @param stream the attempt
-	 * @param outcome whether the attempt can still run
+	 * @param outcome the result of the revocation
 	 */
 	record BarResult(StreamId stream, BarOutcome outcome) implements OfStream {
 
 	}
 
 	/**
-	 * Reports load; sent on request, and unasked when the target starts to leave.
+	 * Reports load; sent on request, and unsolicited when the target starts draining.
 	 *
-	 * @param report the load
+	 * @param report the load of the sidecar's target
 	 */
 	record Load(LoadReport report) implements SidecarMessage {
 
 	}
 
 	/**
-	 * Says that the sidecar ends: what it did not answer before on this link it has not
-	 * read and never will.
+	 * Announces the shutdown of the sidecar. Messages that it has not answered on this
+	 * link were not read and will not be read.
 	 */
 	record Farewell() implements SidecarMessage {
 
@@ -95,8 +95,8 @@
 	/**
 	 * Answers {@link EntryMessage.BarKey}.
 	 *
-	 * @param key the key
-	 * @param outcome whether the key can still run here
+	 * @param key the revoked key
+	 * @param outcome the result of the revocation
 	 */
 	record KeyBarResult(OnceKey key, BarOutcome outcome) implements SidecarMessage {
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/Work.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/Work.java
@@ -4,21 +4,22 @@
 import java.util.Optional;
 
 /**
- * A request as the sidecar sees it.
+ * Request as submitted to a sidecar.
  *
- * @param requestId unique among all requests of all entries
- * @param kind what the target is asked to do
+ * @param requestId the identifier, unique among all requests of all entries
+ * @param kind the operation that the target executes
  * @param account the client account
  * @param model the model, or the name of the plain service
  * @param method the HTTP method for the target
  * @param path the HTTP path for the target
- * @param body the body for the target; not copied, must not be changed
- * @param priority higher goes first; 0 is overnight work
+ * @param body the body for the target; not copied, must not be modified
+ * @param priority the priority, of which a higher one is admitted first; 0 is batch work
  * @param repeatable whether the request may run more than once
- * @param onceKey names a request that is not repeatable across the caller's tries
- * @param promptTokens the estimated number of tokens in the prompt
- * @param maxTokens the most tokens the output may have
- * @param patienceMillis how long the caller waits for its first token, from now
+ * @param onceKey the idempotency key of a request that is not repeatable, or empty
+ * @param promptTokens the estimated number of tokens in the prompt, not negative
+ * @param maxTokens the maximum number of output tokens, at least 1
+ * @param patienceMillis the time until the caller needs the first token, in milliseconds
+ * from now
  * @since 0.1
  */
 public record Work(String requestId, WorkKind kind, String account, String model, String method, String path,
@@ -40,30 +41,30 @@
 	}
 
 	/**
-	 * Return the name that the generation has at its target.
+	 * Return the name of the generation at its target.
 	 * <p>
-	 * The name of a keyed request derives from its key alone, so that every try of it has
-	 * the same name.
-	 * @param attempt the number of the attempt
-	 * @return the name
+	 * The name of a keyed request is derived from its key alone and is therefore the same
+	 * for all retries.
+	 * @param attempt the number of the attempt, ignored for a keyed request
+	 * @return the name, unique among all generations
 	 */
 	public String generationName(int attempt) {
 		return this.onceKey.map(OnceKey::generationName).orElseGet(() -> attemptName(attempt));
 	}
 
 	/**
-	 * Return the name of an attempt, which no other attempt of any request has.
-	 * @param attempt the number of the attempt
-	 * @return the name
+	 * Return the name of an attempt.
+	 * @param attempt the number of the attempt, starting at 1
+	 * @return the name, unique among all attempts of all requests
 	 */
 	public String attemptName(int attempt) {
 		return this.requestId + "-" + attempt;
 	}
 
 	/**
-	 * Return a copy with another patience.
-	 * @param millis how long the caller still waits, in milliseconds
-	 * @return the copy
+	 * Create a copy with another time until the caller needs the first token.
+	 * @param millis the remaining time in milliseconds
+	 * @return a copy that differs in {@code patienceMillis} only
 	 */
 	public Work withPatience(long millis) {
 		return new Work(this.requestId, this.kind, this.account, this.model, this.method, this.path, this.body,
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/WorkKind.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/WorkKind.java
@@ -1,19 +1,19 @@
 package dev.laneworks.core.message;
 
 /**
- * What a target is asked to do.
+ * Kind of operation that a target executes.
  *
  * @since 0.1
  */
 public enum WorkKind {
 
-	/** A text completion, whose output is a stream of tokens. */
+	/** Text completion with a stream of tokens as output. */
 	COMPLETION,
 
-	/** A chat completion, whose output is a stream of tokens. */
+	/** Chat completion with a stream of tokens as output. */
 	CHAT,
 
-	/** A call of a plain service, whose output is one chunk. */
+	/** Call of a plain service with one chunk as output. */
 	SERVICE
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Messages between entries and sidecars as typed, immutable values.
+ * Immutable messages between entries and sidecars.
  */
 package dev.laneworks.core.message;
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
@@ -6,21 +6,21 @@
 import dev.laneworks.core.message.ConfigurationMessage;
 
 /**
- * Tells peers which configuration is in force and passes documents on.
+ * Distributes configurations between peers by version notices and document requests.
  * <p>
- * A notice goes out when a configuration comes in force. Besides, one side of each link
- * sends notices every few seconds and the other answers them. Who holds an older version
- * asks one peer for the document. So a new version crosses the fleet link by link, and
- * reads of the platform's service do not grow with the fleet. Not thread-safe.
+ * A notice is sent to all peers when a configuration comes into force. In addition, one
+ * side of each link sends periodic notices and the other side answers them. A process
+ * with an older version requests the document from one peer. Reads of the platform's
+ * service therefore do not grow with the fleet. Not thread-safe.
  *
  * @since 0.1
  */
 public final class ConfigurationExchange {
 
-	private static final long NOTICE_GAP_MILLIS = 3_000;
+	private static final long NOTICE_INTERVAL_MILLIS = 3_000;
 
-	/** How long a peer may take to send a document before another is asked. */
-	private static final long REQUEST_MILLIS = 1_000;
+	/** Time after which an unanswered request may be sent to another peer. */
+	private static final long REQUEST_TIMEOUT_MILLIS = 1_000;
 
 	private final ConfigurationKeeper keeper;
 
@@ -28,7 +28,7 @@
 
 	private final boolean periodic;
 
-	private long noticedAt;
+	private long lastNoticeAt;
 
 	private long requestedVersion;
 
@@ -36,10 +36,10 @@
 
 	/**
 	 * Create an exchange.
-	 * @param keeper the process's configuration
+	 * @param keeper maintains the configuration of this process
 	 * @param broadcast sends a message to all peers
-	 * @param periodic whether this side sends notices regularly, rather than answering
-	 * those of its peers
+	 * @param periodic whether this side sends periodic notices; if not, it answers those
+	 * of its peers
 	 */
 	public ConfigurationExchange(ConfigurationKeeper keeper, Consumer<ConfigurationMessage> broadcast,
 			boolean periodic) {
@@ -50,14 +50,14 @@
 
 	/**
 	 * Handle a peer's message.
-	 * @param peer the peer's name
-	 * @param message the message
+	 * @param peer the peer's name, for the audit log
+	 * @param message a notice, a request or a document
 	 * @param reply sends a message to this peer
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void onMessage(String peer, ConfigurationMessage message, Consumer<ConfigurationMessage> reply, long now) {
 		if (message instanceof ConfigurationMessage.Notice notice) {
-			onNotice(notice, reply, now);
+			handleNotice(notice, reply, now);
 		}
 		else if (message instanceof ConfigurationMessage.Request) {
 			long version = this.keeper.ledger().version();
@@ -69,29 +69,29 @@
 	}
 
 	/**
-	 * Tell all peers at once.
-	 * @param now the time in milliseconds
+	 * Send a notice to all peers immediately.
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void announce(long now) {
-		this.noticedAt = now;
+		this.lastNoticeAt = now;
 		this.broadcast.accept(notice(now));
 	}
 
 	/**
-	 * Do what is due.
-	 * @param now the time in milliseconds
+	 * Run the tasks that are due: poll the service and send the periodic notice.
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void tick(long now) {
 		this.keeper.tick(now);
-		if (this.periodic && now - this.noticedAt >= NOTICE_GAP_MILLIS) {
+		if (this.periodic && now - this.lastNoticeAt >= NOTICE_INTERVAL_MILLIS) {
 			announce(now);
 		}
 	}
 
 	/**
-	 * Return what this process tells its peers.
-	 * @param now the time in milliseconds
-	 * @return the notice
+	 * Create a notice of the configuration in force.
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return a notice with the version and the time since its confirmation
 	 */
 	public ConfigurationMessage.Notice notice(long now) {
 		ConfigurationLedger ledger = this.keeper.ledger();
@@ -99,17 +99,18 @@
 	}
 
 	/**
-	 * Return the process's configuration.
-	 * @return the keeper
+	 * Return the keeper of this process's configuration.
+	 * @return the keeper passed to the constructor
 	 */
 	public ConfigurationKeeper keeper() {
 		return this.keeper;
 	}
 
-	private void onNotice(ConfigurationMessage.Notice notice, Consumer<ConfigurationMessage> reply, long now) {
+	private void handleNotice(ConfigurationMessage.Notice notice, Consumer<ConfigurationMessage> reply, long now) {
 		boolean newer = this.keeper.onPeerNotice(notice.version(), notice.confirmedAgeMillis(), now);
-		boolean asked = notice.version() <= this.requestedVersion && now - this.requestedAt < REQUEST_MILLIS;
-		if (newer && !asked) {
+		boolean requested = notice.version() <= this.requestedVersion
+				&& now - this.requestedAt < REQUEST_TIMEOUT_MILLIS;
+		if (newer && !requested) {
 			this.requestedVersion = notice.version();
 			this.requestedAt = now;
 			reply.accept(new ConfigurationMessage.Request());
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
@@ -15,10 +15,10 @@
 /**
  * Keeps a process's configuration up to date from the platform's service and from peers.
  * <p>
- * The process watches the service while it is one of the watchers, or while nobody else
- * has lately heard the service hold the version in force. Owned by one duty, on whose
- * thread all methods are called; answers of the service come back through the executor
- * given. Not thread-safe.
+ * A watcher always watches the service. Any other process watches it only while no peer
+ * has recently confirmed the version in force. All methods are called on the thread of
+ * the duty that owns the keeper; answers of the service are passed to that thread. Not
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -32,15 +32,15 @@
 
 	private final Consumer<Consumer<Long>> onDutyThread;
 
-	private final Consumer<FleetConfiguration> inForce;
+	private final Consumer<FleetConfiguration> onChange;
 
 	private final AuditSink audit;
 
-	private final long peersSufficeMillis;
+	private final long maxPeerAgeMillis;
 
 	private boolean watcher = true;
 
-	private boolean calling;
+	private boolean callInProgress;
 
 	private int failures;
 
@@ -51,69 +51,70 @@
 	private long serviceCalls;
 
 	/**
-	 * Create a keeper.
-	 * @param ledger the configuration in force
-	 * @param service the platform's service
-	 * @param backoff spreads calls after failures
-	 * @param peersSufficeMillis how fresh a peer's word must be for a process that is no
-	 * watcher not to ask the service
-	 * @param onDutyThread runs a task, given the time, on the thread that owns this
-	 * object
-	 * @param inForce hears of each configuration that comes in force
-	 * @param audit takes audit events
+	 * Create a keeper that is a watcher until {@link #setWatcher} is called.
+	 * @param ledger holds the configuration in force
+	 * @param service the configuration service of the platform
+	 * @param backoff calculates the delay between calls of the service
+	 * @param maxPeerAgeMillis the maximum age of a confirmation, in milliseconds, with
+	 * which a process that is not a watcher does not call the service
+	 * @param onDutyThread runs a task on the thread that owns this object and passes the
+	 * current time to it
+	 * @param onChange receives each configuration that comes into force
+	 * @param audit records decisions and their causes
 	 */
 	public ConfigurationKeeper(ConfigurationLedger ledger, ConfigurationService service, Backoff backoff,
-			long peersSufficeMillis, Consumer<Consumer<Long>> onDutyThread, Consumer<FleetConfiguration> inForce,
+			long maxPeerAgeMillis, Consumer<Consumer<Long>> onDutyThread, Consumer<FleetConfiguration> onChange,
 			AuditSink audit) {
 		this.ledger = ledger;
 		this.service = service;
 		this.backoff = backoff;
-		this.peersSufficeMillis = peersSufficeMillis;
+		this.maxPeerAgeMillis = maxPeerAgeMillis;
 		this.onDutyThread = onDutyThread;
-		this.inForce = inForce;
+		this.onChange = onChange;
 		this.audit = audit;
 	}
 
 	/**
-	 * Say whether this process is one of those that always watch the service.
-	 * @param isWatcher whether it is
+	 * Set whether this process is a watcher.
+	 * @param isWatcher {@code true} if the process always watches the service
 	 */
 	public void setWatcher(boolean isWatcher) {
 		this.watcher = isWatcher;
 	}
 
 	/**
-	 * Do what is due.
-	 * @param now the time in milliseconds
+	 * Call the service if a call is due and none is in progress.
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void tick(long now) {
-		if (this.calling || now < this.nextCallAt) {
+		if (this.callInProgress || now < this.nextCallAt) {
 			return;
 		}
-		if (!this.watcher && this.ledger.confirmedAgeMillis(now) < this.peersSufficeMillis) {
+		if (!this.watcher && this.ledger.confirmedAgeMillis(now) < this.maxPeerAgeMillis) {
 			return;
 		}
-		this.calling = true;
+		this.callInProgress = true;
 		this.serviceCalls++;
-		this.service.watch(this.ledger.version(), (r) -> this.onDutyThread.accept((t) -> onAnswer(r, t)));
+		this.service.watch(this.ledger.version(), (r) -> this.onDutyThread.accept((t) -> handleAnswer(r, t)));
 	}
 
 	/**
-	 * Take a document from a peer.
-	 * @param peer the peer's name
-	 * @param text the document
-	 * @param now the time in milliseconds
+	 * Handle a document from a peer.
+	 * @param peer the peer's name, for the audit log
+	 * @param text the text of the document
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void onPeerDocument(String peer, String text, long now) {
 		offer("peer " + peer, text, now);
 	}
 
 	/**
-	 * Take a peer's word on which version it holds.
-	 * @param version the peer's version
-	 * @param confirmedAgeMillis how long ago the service was heard to hold it
-	 * @param now the time in milliseconds
-	 * @return whether the peer should be asked for its document
+	 * Record the version that is in force at a peer.
+	 * @param version the peer's version, or 0 for none
+	 * @param confirmedAgeMillis the time since the service confirmed the version, in
+	 * milliseconds, or {@link ConfigurationLedger#NEVER_CONFIRMED}
+	 * @param now the current time in milliseconds of the monotonic clock
+	 * @return {@code true} if the peer's version is newer than the one in force
 	 */
 	public boolean onPeerNotice(long version, long confirmedAgeMillis, long now) {
 		if (confirmedAgeMillis != ConfigurationLedger.NEVER_CONFIRMED) {
@@ -123,31 +124,31 @@
 	}
 
 	/**
-	 * Return the configuration in force and its age.
-	 * @return the ledger
+	 * Return the ledger with the configuration in force and its age.
+	 * @return the ledger passed to the constructor
 	 */
 	public ConfigurationLedger ledger() {
 		return this.ledger;
 	}
 
 	/**
-	 * Return the fault of the last document refused.
-	 * @return the fault, or empty text
+	 * Return the reason why a document was last refused.
+	 * @return the reason, or empty text if none was refused since the last acceptance
 	 */
 	public String lastRefusal() {
 		return this.lastRefusal;
 	}
 
 	/**
-	 * Return how often the service was called.
-	 * @return the count since the start
+	 * Return the number of calls of the service.
+	 * @return the number since the start
 	 */
 	public long serviceCalls() {
 		return this.serviceCalls;
 	}
 
-	private void onAnswer(Either<IOException, PublishedDocument> answer, long now) {
-		this.calling = false;
+	private void handleAnswer(Either<IOException, PublishedDocument> answer, long now) {
+		this.callInProgress = false;
 		if (answer.isLeft()) {
 			if (this.failures++ == 0) {
 				this.audit
@@ -161,18 +162,18 @@
 		}
 		this.failures = 0;
 		this.nextCallAt = now + this.backoff.delayMillis(1);
-		PublishedDocument held = answer.get();
-		if (!held.text().isEmpty()) {
-			offer("configuration service", held.text(), now);
+		PublishedDocument published = answer.get();
+		if (!published.text().isEmpty()) {
+			offer("configuration service", published.text(), now);
 		}
-		// A stale service names an older version and so confirms nothing.
-		this.ledger.confirm(held.version(), 0, now);
+		// A stale service reports an older version, which confirms nothing.
+		this.ledger.confirm(published.version(), 0, now);
 	}
 
 	private void offer(String source, String text, long now) {
 		Either<InvalidDocumentException, ConfigurationLedger.Outcome> outcome = this.ledger.offer(source, text, now);
 		if (outcome.isLeft()) {
-			refused(outcome.getLeft().getMessage());
+			recordRefusal(outcome.getLeft().getMessage());
 			return;
 		}
 		switch (outcome.get()) {
@@ -180,15 +181,16 @@
 				this.lastRefusal = "";
 				this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_ACCEPTED, "version " + this.ledger.version(),
 						"", "from " + source));
-				this.inForce.accept(this.ledger.current().orElseThrow());
+				this.onChange.accept(this.ledger.current().orElseThrow());
 			}
-			case CONFLICT -> refused(source + ": another document bears version " + this.ledger.version());
+			case CONFLICT ->
+				recordRefusal(source + ": a different document has the same version " + this.ledger.version());
 			case SAME, OLDER -> {
 			}
 		}
 	}
 
-	private void refused(String fault) {
+	private void recordRefusal(String fault) {
 		if (!fault.equals(this.lastRefusal)) {
 			this.lastRefusal = fault;
 			this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_REFUSED, "version above " + this.ledger.version(),
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationService.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationService.java
@@ -6,17 +6,18 @@
 import io.vavr.control.Either;
 
 /**
- * The platform's configuration service, which can only be read and watched.
+ * Read-only client of the platform's configuration service.
  *
  * @since 0.1
  */
 public interface ConfigurationService {
 
 	/**
-	 * Ask for the document, waiting while the service holds none newer than a version.
-	 * @param afterVersion the version that the caller holds; 0 asks for any at once
-	 * @param receiver takes the document, empty if the service holds none newer, or why
-	 * there is no answer; called once on an I/O thread
+	 * Request the document, waiting until the service holds a newer version.
+	 * @param afterVersion the version that the caller holds, or 0 to request any version
+	 * without waiting
+	 * @param receiver receives the document, with empty text if none is newer, or the
+	 * failure of the call; called once on an I/O thread
 	 */
 	void watch(long afterVersion, Consumer<Either<IOException, PublishedDocument>> receiver);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationWatchers.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationWatchers.java
@@ -7,8 +7,8 @@
 import dev.laneworks.core.routing.Rendezvous;
 
 /**
- * Picks the few sidecars that always watch the configuration service, so that its calls
- * grow with the data centres and not with the fleet.
+ * Selects the sidecars that always watch the configuration service, a fixed number in
+ * each data centre.
  *
  * @since 0.1
  */
@@ -22,16 +22,17 @@
 	}
 
 	/**
-	 * Return whether the sidecar of a target watches the service.
+	 * Determine whether the sidecar of a target watches the service.
 	 * @param configuration the configuration in force
 	 * @param target the target's name
-	 * @return {@code true} if it is among the first of its data centre, or not published
+	 * @return {@code true} if it is selected in its data centre, or if the target is not
+	 * in the configuration
 	 */
 	public static boolean isWatcher(FleetConfiguration configuration, String target) {
-		return configuration.target(target).map((t) -> isAmongFirst(configuration, t)).orElse(true);
+		return configuration.target(target).map((t) -> isSelected(configuration, t)).orElse(true);
 	}
 
-	private static boolean isAmongFirst(FleetConfiguration configuration, TargetDescription target) {
+	private static boolean isSelected(FleetConfiguration configuration, TargetDescription target) {
 		List<TargetDescription> local = configuration.targets()
 			.stream()
 			.filter((t) -> t.dataCentre().equals(target.dataCentre()))
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keeps the configuration of a process up to date from the service and from peers.
+ * Distribution of the configuration from the platform's service and between peers.
  */
 package dev.laneworks.core.peer;
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/AccountGrant.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/AccountGrant.java
@@ -4,11 +4,12 @@
 import java.util.OptionalInt;
 
 /**
- * The client account that holds a key.
+ * Rights of the client account to which a key belongs.
  *
  * @param account the account's name
- * @param priority the account's rank, which goes before that of the route
- * @param regions where the account's requests may be served
+ * @param priority the account's priority, 0 being the highest, which overrides that of
+ * the route; empty if the route's priority applies
+ * @param regions the regions in which the account's requests may be served
  * @since 0.2
  */
 public record AccountGrant(String account, OptionalInt priority, AllowedRegions regions) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/AllowedRegions.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/AllowedRegions.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * The regions that a request may be served in.
+ * Regions in which a request may be served.
  *
- * @param names the names of the regions, or empty where any will do
+ * @param names the names of the allowed regions, or empty if every region is allowed
  * @since 0.3
  */
 public record AllowedRegions(Optional<Set<String>> names) {
@@ -20,26 +20,26 @@
 	}
 
 	/**
-	 * Return that any region will do.
-	 * @return no restriction
+	 * Return the instance that allows every region.
+	 * @return an instance without a restriction
 	 */
 	public static AllowedRegions any() {
 		return ANY;
 	}
 
 	/**
-	 * Return a restriction to some regions.
-	 * @param names their names; none of them means no restriction
-	 * @return the restriction
+	 * Create a restriction to the given regions.
+	 * @param names the names of the regions; an empty collection means no restriction
+	 * @return the restriction, or the instance that allows every region
 	 */
 	public static AllowedRegions of(Collection<String> names) {
 		return names.isEmpty() ? ANY : new AllowedRegions(Optional.of(Set.copyOf(names)));
 	}
 
 	/**
-	 * Return the regions that this and another restriction allow.
+	 * Create the intersection of this restriction and another one.
 	 * @param other the other restriction
-	 * @return both of them; no region at all where they have none in common
+	 * @return the regions allowed by both; no region if they have none in common
 	 */
 	public AllowedRegions and(AllowedRegions other) {
 		if (this.names.isEmpty()) {
@@ -54,10 +54,10 @@
 	}
 
 	/**
-	 * Return whether a request may be served in a region.
-	 * @param region the region, or empty where it is not known
-	 * @return whether it may; where there is a restriction it may not in a region that is
-	 * not known
+	 * Determine whether a request may be served in a region.
+	 * @param region the region's name, or empty if it is unknown
+	 * @return {@code true} if the region is allowed; an unknown region is allowed only
+	 * without a restriction
 	 */
 	public boolean allow(Optional<String> region) {
 		return this.names.isEmpty() || region.filter(this.names.get()::contains).isPresent();
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/EngineSpec.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/EngineSpec.java
@@ -1,17 +1,18 @@
 package dev.laneworks.core.serving;
 
 /**
- * What the engines of a service can do.
+ * Capacity and capabilities of the engines of a service.
  *
- * @param slots the requests that an engine runs at once
- * @param memoryTokens the tokens that an engine's memory holds
- * @param tokenBytes the bytes of memory for a token
- * @param linkMbps the rate of an engine's link for copies, in megabits a second
- * @param tokensPerEvent the tokens that one event of a stream holds
+ * @param slots the maximum number of concurrent requests of an engine, at least 1
+ * @param memoryTokens the capacity of an engine's KV cache in tokens, at least 1
+ * @param tokenBytes the size of one token in the KV cache, in bytes
+ * @param linkMbps the bandwidth of an engine's link for copies, in megabits per second; 0
+ * if unknown
+ * @param tokensPerEvent the number of tokens in one event of a stream
  * @param moves whether a running generation can be copied on demand
- * @param backups whether a generation can be copied as it grows
- * @param holdMillis the longest time that memory can be reserved for, in milliseconds; 0
- * where it can't
+ * @param backups whether a generation can be copied incrementally while it grows
+ * @param holdMillis the longest time that memory can be reserved, in milliseconds; 0 if
+ * engines do not support reservations
  * @since 0.2
  */
 public record EngineSpec(int slots, long memoryTokens, long tokenBytes, double linkMbps, int tokensPerEvent,
@@ -31,10 +32,10 @@
 	}
 
 	/**
-	 * Return how long a copy takes on an idle link, for embedders that plan copies ahead.
-	 * Moves don't ask it: they judge a link by what the copies before took.
-	 * @param tokens the tokens to copy
-	 * @return milliseconds; 0 where the link's rate is not known
+	 * Calculate the duration of a copy on an idle link. Intended for embedders that plan
+	 * copies in advance; moves use the durations of earlier copies instead.
+	 * @param tokens the number of tokens to copy
+	 * @return the duration in milliseconds, or 0 if the bandwidth is unknown
 	 */
 	public long copyMillis(long tokens) {
 		if (this.linkMbps <= 0) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/RequestKind.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/RequestKind.java
@@ -1,7 +1,7 @@
 package dev.laneworks.core.serving;
 
 /**
- * What may be done again with a request of a route.
+ * Kind of the requests of a route, which determines whether they may be repeated.
  *
  * @since 0.2
  */
@@ -10,15 +10,15 @@
 	/** The request may run more than once. */
 	SAFE,
 
-	/** The request may run once at most. */
+	/** The request may run at most once. */
 	UNSAFE,
 
-	/** The request may run once at most, and its answer is a stream of events. */
+	/** The request may run at most once and its answer is a stream of events. */
 	STREAMING;
 
 	/**
-	 * Return whether the request may run more than once.
-	 * @return whether it is repeatable
+	 * Determine whether the request may run more than once.
+	 * @return {@code true} for {@link #SAFE} only
 	 */
 	public boolean isRepeatable() {
 		return this == SAFE;
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/RouteSpec.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/RouteSpec.java
@@ -4,22 +4,21 @@
 import java.util.Objects;
 
 /**
- * One route: which requests it covers, which services answer them, and within what
- * bounds.
+ * Route that maps requests of a host and path prefix to services, with their limits.
  *
  * @param name the route's name
- * @param host the host that requests name
- * @param prefix the beginning of their paths; begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis the longest time a request may be held, in milliseconds
+ * @param host the host name of matching requests
+ * @param prefix the path prefix of matching requests; starts and ends with a slash
+ * @param kind the kind of the requests, which determines whether they may be repeated
+ * @param timeoutMillis the maximum duration of a request, in milliseconds; positive
  * @param goalMillis the response-time goal, in milliseconds
- * @param gapGoalMillis the longest pause between events that is still in time, in
- * milliseconds; 0 where answers are no streams
- * @param priority the rank, 0 being the highest
- * @param maxAttempts the most targets that one request may run on
- * @param open whether requests need no key
- * @param services who answers, at least one
- * @param regions where requests may be served
+ * @param gapGoalMillis the goal for the longest pause between events, in milliseconds; 0
+ * if answers are not streams
+ * @param priority the priority, 0 being the highest
+ * @param maxAttempts the maximum number of targets that one request may run on
+ * @param open whether requests are accepted without a key
+ * @param services the services that answer the requests, at least one
+ * @param regions the regions in which requests may be served
  * @since 0.2
  */
 public record RouteSpec(String name, String host, String prefix, RequestKind kind, long timeoutMillis, long goalMillis,
@@ -42,27 +41,28 @@
 	}
 
 	/**
-	 * Return the route with another rank.
-	 * @param rank the rank, 0 being the highest
-	 * @return the route
+	 * Create a copy with another priority.
+	 * @param newPriority the priority, 0 being the highest
+	 * @return a copy that differs in the priority only
 	 */
-	public RouteSpec withPriority(int rank) {
+	public RouteSpec withPriority(int newPriority) {
 		return new RouteSpec(this.name, this.host, this.prefix, this.kind, this.timeoutMillis, this.goalMillis,
-				this.gapGoalMillis, rank, this.maxAttempts, this.open, this.services, this.regions);
+				this.gapGoalMillis, newPriority, this.maxAttempts, this.open, this.services, this.regions);
 	}
 
 	/**
-	 * Choose the service of one request.
-	 * @param position where the request falls, from 0 up to but not including 1
-	 * @return the service's name
+	 * Select the service of one request in proportion to the weights.
+	 * @param position the position of the request in the total weight, from 0 (inclusive)
+	 * to 1 (exclusive)
+	 * @return the service's name; the first service if all weights are 0
 	 */
 	public String serviceAt(double position) {
 		double total = this.services.stream().mapToDouble(WeightedService::weight).sum();
-		double left = position * total;
-		for (WeightedService each : this.services) {
-			left -= each.weight();
-			if (left < 0) {
-				return each.service();
+		double remainingWeight = position * total;
+		for (WeightedService candidate : this.services) {
+			remainingWeight -= candidate.weight();
+			if (remainingWeight < 0) {
+				return candidate.service();
 			}
 		}
 		return this.services.get(0).service();
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/ServiceSpec.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/ServiceSpec.java
@@ -4,13 +4,14 @@
 import java.util.Optional;
 
 /**
- * A service that requests are routed to.
+ * Service to which requests are routed.
  *
  * @param name the service's name
- * @param maxConnections the connections that one of its targets accepts from all callers
- * @param coldPerSecond the requests a second that one of its targets bears while it is
- * cold; 0 where nothing is known of that
- * @param engine what its engines can do; empty for a plain service
+ * @param maxConnections the maximum number of connections that one target accepts from
+ * all entries together
+ * @param coldPerSecond the requests per second that one target supports while it is cold;
+ * 0 if unknown
+ * @param engine the capabilities of its engines; empty for a plain service
  * @since 0.2
  */
 public record ServiceSpec(String name, int maxConnections, double coldPerSecond, Optional<EngineSpec> engine) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/ServingPlan.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/ServingPlan.java
@@ -10,9 +10,9 @@
 import java.util.stream.Stream;
 
 /**
- * One version of all that the operator lets be served.
+ * One version of the operator's routes, services, client accounts and limits.
  * <p>
- * Immutable, so that a request is judged by one version from its beginning to its end.
+ * Immutable, so that one version applies to a request from its arrival to its end.
  *
  * @since 0.2
  */
@@ -32,17 +32,16 @@
 
 	/**
 	 * Create a plan.
-	 * @param version its version; only a higher one replaces it
-	 * @param routes the routes
+	 * @param version the version; only a plan with a higher one replaces this plan
+	 * @param routes the routes in any order
 	 * @param services the services by name
-	 * @param accountsByKey the client accounts by key; where it is empty no request needs
-	 * a key
-	 * @param limits what callers may send
+	 * @param accountsByKey the client accounts by key; if empty, no request needs a key
+	 * @param limits the size limits and timeouts of requests
 	 */
 	public ServingPlan(long version, List<RouteSpec> routes, Map<String, ServiceSpec> services,
 			Map<String, AccountGrant> accountsByKey, RequestLimits limits) {
 		this.version = version;
-		this.routesByHost = byHost(routes);
+		this.routesByHost = groupByHost(routes);
 		this.services = Map.copyOf(services);
 		this.serviceNames.addAll(services.keySet());
 		routes.forEach((r) -> r.services().forEach((s) -> this.serviceNames.add(s.service())));
@@ -51,27 +50,27 @@
 	}
 
 	/**
-	 * Return the plan's version.
-	 * @return the version
+	 * Return the version of the plan.
+	 * @return the version, which increases with each plan
 	 */
 	public long version() {
 		return this.version;
 	}
 
 	/**
-	 * Return what callers may send.
-	 * @return the limits
+	 * Return the size limits and timeouts of incoming requests.
+	 * @return the limits, the same for all routes
 	 */
 	public RequestLimits limits() {
 		return this.limits;
 	}
 
 	/**
-	 * Return the route of a request: of its host's routes the one with the longest prefix
-	 * of its path.
-	 * @param host the host that the request names, without a port
+	 * Find the route of a request: the route of its host with the longest matching path
+	 * prefix.
+	 * @param host the host name of the request, without a port
 	 * @param path the path, without the query
-	 * @return the route, or empty if there is none
+	 * @return the route, or empty if none matches
 	 */
 	public Optional<RouteSpec> route(String host, String path) {
 		return this.routesByHost.getOrDefault(host, List.of())
@@ -81,19 +80,19 @@
 	}
 
 	/**
-	 * Return a service.
+	 * Find a service by name.
 	 * @param name the service's name
-	 * @return the service, or empty if the plan has none of that name
+	 * @return the service, or empty if the plan does not define it
 	 */
 	public Optional<ServiceSpec> service(String name) {
 		return Optional.ofNullable(this.services.get(name));
 	}
 
 	/**
-	 * Return whether the plan names a service, be it with what its targets can do or as
-	 * one that a route sends requests to.
+	 * Determine whether the plan refers to a service, either by a definition or in a
+	 * route.
 	 * @param name the service's name
-	 * @return whether a target of the service may be needed
+	 * @return {@code true} if targets of the service may receive requests
 	 * @since 0.3
 	 */
 	public boolean namesService(String name) {
@@ -101,23 +100,23 @@
 	}
 
 	/**
-	 * Return whether requests need a key, but on open routes.
-	 * @return whether the plan has client accounts
+	 * Determine whether requests need a key on routes that are not open.
+	 * @return {@code true} if the plan has client accounts
 	 */
 	public boolean needsKeys() {
 		return !this.accountsByKey.isEmpty();
 	}
 
 	/**
-	 * Return the client account that holds a key.
-	 * @param key the key
-	 * @return the account, or empty if nobody holds the key
+	 * Find the client account to which a key belongs.
+	 * @param key the key sent by the caller
+	 * @return the account and its rights, or empty if the key is unknown
 	 */
 	public Optional<AccountGrant> account(String key) {
 		return Optional.ofNullable(this.accountsByKey.get(key));
 	}
 
-	private static Map<String, List<RouteSpec>> byHost(List<RouteSpec> routes) {
+	private static Map<String, List<RouteSpec>> groupByHost(List<RouteSpec> routes) {
 		Comparator<RouteSpec> longestFirst = (a, b) -> Integer.compare(b.prefix().length(), a.prefix().length());
 		Map<String, List<RouteSpec>> grouped = new HashMap<>();
 		for (RouteSpec route : routes) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/WeightedService.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/WeightedService.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * A service with its share of a route's requests.
+ * Service of a route with its relative share of the requests.
  *
  * @param service the service's name
- * @param weight the share, relative to the other services of the route; not negative
+ * @param weight the share relative to the other services of the route; not negative
  * @since 0.2
  */
 public record WeightedService(String service, double weight) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/package-info.java
@@ -1,5 +1,4 @@
 /**
- * What the operator lets be served: routes, services, client accounts and limits, as one
- * version of one plan.
+ * Serving plan of the operator: routes, services, client accounts and limits.
  */
 package dev.laneworks.core.serving;
--- a/laneworks-core/src/main/java/dev/laneworks/core/verdict/Refusal.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/verdict/Refusal.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * The final answer to a request that is not served, or not served to its end.
+ * Final answer to a request that is not served, or not served completely.
  *
  * @param verdict whether the request may have run
- * @param reason why it was refused
- * @param detail one sentence for the caller's operator
- * @param retryAfter when coming back may help, if it may
+ * @param reason the reason for the refusal
+ * @param detail one sentence that explains the refusal to the caller's operator
+ * @param retryAfter the delay before a retry, or empty if a retry is not recommended
  * @since 0.1
  */
 public record Refusal(Verdict verdict, RefusalReason reason, String detail, Optional<Duration> retryAfter) {
@@ -23,11 +23,11 @@
 	}
 
 	/**
-	 * Create a refusal of a request that did not run.
-	 * @param reason why it was refused
-	 * @param detail one sentence for the caller's operator
-	 * @param retryAfter when to come back
-	 * @return the refusal
+	 * Create a refusal of a request that did not run and may be retried.
+	 * @param reason the reason for the refusal
+	 * @param detail one sentence that explains the refusal to the caller's operator
+	 * @param retryAfter the delay before a retry
+	 * @return a refusal with the verdict {@link Verdict#NOT_RUN}
 	 */
 	public static Refusal notRun(RefusalReason reason, String detail, Duration retryAfter) {
 		return new Refusal(Verdict.NOT_RUN, reason, detail, Optional.of(retryAfter));
@@ -35,9 +35,9 @@
 
 	/**
 	 * Create a refusal of a request that did not run and would be refused again.
-	 * @param reason why it was refused
-	 * @param detail one sentence for the caller's operator
-	 * @return the refusal
+	 * @param reason the reason for the refusal
+	 * @param detail one sentence that explains the refusal to the caller's operator
+	 * @return a refusal with the verdict {@link Verdict#NOT_RUN} and no retry delay
 	 */
 	public static Refusal never(RefusalReason reason, String detail) {
 		return new Refusal(Verdict.NOT_RUN, reason, detail, Optional.empty());
@@ -45,19 +45,19 @@
 
 	/**
 	 * Create a refusal of a request that may have run.
-	 * @param reason why it was refused
-	 * @param detail one sentence for the caller's operator
-	 * @return the refusal
+	 * @param reason the reason for the refusal
+	 * @param detail one sentence that explains the refusal to the caller's operator
+	 * @return a refusal with the verdict {@link Verdict#MAY_HAVE_RUN} and no retry delay
 	 */
 	public static Refusal mayHaveRun(RefusalReason reason, String detail) {
 		return new Refusal(Verdict.MAY_HAVE_RUN, reason, detail, Optional.empty());
 	}
 
 	/**
-	 * Create a clear end for a request that ran in part.
-	 * @param reason why it ended
-	 * @param detail one sentence for the caller's operator
-	 * @return the refusal
+	 * Create the final answer to a request that ran in part.
+	 * @param reason the reason for the early end
+	 * @param detail one sentence that explains the end to the caller's operator
+	 * @return a refusal with the verdict {@link Verdict#RAN} and no retry delay
 	 */
 	public static Refusal ran(RefusalReason reason, String detail) {
 		return new Refusal(Verdict.RAN, reason, detail, Optional.empty());
--- a/laneworks-core/src/main/java/dev/laneworks/core/verdict/RefusalReason.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/verdict/RefusalReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /**
- * Why a request was refused or ended early.
+ * Reason why a request was refused or ended early.
  *
  * @since 0.1
  */
@@ -12,67 +12,67 @@
 	/** The request is malformed. */
 	BAD_REQUEST(400),
 
-	/** The request is larger than the entry takes. */
+	/** The request exceeds the maximum size. */
 	TOO_LARGE(413),
 
-	/** The head of the request is larger than the entry takes. */
+	/** The head of the request exceeds the maximum size. */
 	HEAD_TOO_LARGE(431),
 
 	/** The body of the request did not arrive in time. */
 	BODY_TOO_SLOW(408),
 
-	/** No route covers the request's host and path. */
+	/** No route matches the request's host and path. */
 	UNKNOWN_ROUTE(404),
 
-	/** The credentials name no client account. */
+	/** The credentials do not belong to a client account. */
 	UNKNOWN_ACCOUNT(401),
 
 	/** The account has no intent for the model or service. */
 	UNKNOWN_MODEL(404),
 
-	/** The account passed one of its own limits. */
+	/** The account exceeded one of its own limits. */
 	ACCOUNT_LIMIT(429),
 
-	/** No target can take the request now. */
+	/** No target can accept the request now. */
 	OVERLOADED(503),
 
-	/** The wait for a place would outlast the caller's patience. */
+	/** No slot would become free before the caller's timeout. */
 	WAIT_TOO_LONG(503),
 
 	/** No target is known and reachable. */
 	NO_TARGET(503),
 
-	/** The target is leaving. */
+	/** The target is draining. */
 	LEAVING(503),
 
-	/** Targets ended under requests like this one, which are kept from others. */
+	/** Targets crashed while executing similar requests, which are quarantined. */
 	QUARANTINED(503),
 
-	/** The request was withdrawn before it ran. */
+	/** The request was revoked before it ran. */
 	WITHDRAWN(503),
 
-	/** The target refused the request. */
+	/** The target rejected the request. */
 	TARGET_REFUSED(503),
 
-	/** The target's answer could not be had. */
+	/** The connection to the target failed or its answer was lost. */
 	TARGET_LOST(502),
 
-	/** The link to the sidecar was lost and did not come back in time. */
+	/** The link to the sidecar was lost and not restored in time. */
 	LINK_LOST(504),
 
-	/** The generation is no longer held. */
+	/** The target no longer holds the generation. */
 	GENERATION_UNKNOWN(410),
 
-	/** Another reader took over the stream. */
+	/** Another reader attached to the stream. */
 	SUPERSEDED(409),
 
-	/** An earlier try with the same key may have run elsewhere. */
+	/** An earlier attempt with the same key may have run at another target. */
 	KEY_IN_DOUBT(409),
 
-	/** The sidecar's view of the published targets is too old to decide on a key. */
+	/** The sidecar's list of published targets is too old to decide on a key. */
 	STALE_VIEW(503),
 
-	/** The caller left and the generation was cancelled. */
+	/** The caller disconnected and the generation was cancelled. */
 	CANCELLED(499),
 
 	/** The process is not ready to serve. */
@@ -85,7 +85,7 @@
 	}
 
 	/**
-	 * Return the HTTP status that a caller sees for this reason.
+	 * Return the HTTP status sent to the caller for this reason.
 	 * @return a status code between 400 and 599
 	 */
 	public int status() {
@@ -93,7 +93,7 @@
 	}
 
 	/**
-	 * Return the form used in problem documents and logs.
+	 * Return the label used in problem documents and logs.
 	 * @return the lower-case name with hyphens
 	 */
 	public String label() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/verdict/Verdict.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/verdict/Verdict.java
@@ -1,28 +1,27 @@
 package dev.laneworks.core.verdict;
 
 /**
- * Whether a request may have run at a target.
+ * Verdict on whether a request may have run at a target.
  * <p>
- * A request has run from the moment a sidecar starts to hand it to its target. Every
- * refusal carries a verdict, so that a caller or an entry knows whether the request may
- * be sent again.
+ * A request counts as run once a sidecar starts to send it to its target. Every refusal
+ * carries a verdict, which determines whether a caller or an entry may retry the request.
  *
  * @since 0.1
  */
 public enum Verdict {
 
 	/**
-	 * The request did not run and nothing of it will run later.
+	 * The request did not run and will not run later.
 	 */
 	NOT_RUN("not-run"),
 
 	/**
-	 * The request may have run, may be running, or may still run.
+	 * The request may have run, may be running or may still run.
 	 */
 	MAY_HAVE_RUN("may-have-run"),
 
 	/**
-	 * The request ran, wholly or in part.
+	 * The request ran completely or in part.
 	 */
 	RAN("ran");
 
@@ -33,25 +32,25 @@
 	}
 
 	/**
-	 * Return the form used on the wire and in problem documents.
-	 * @return the lower-case label
+	 * Return the label used on the wire and in problem documents.
+	 * @return the lower-case name with hyphens
 	 */
 	public String label() {
 		return this.label;
 	}
 
 	/**
-	 * Decide whether the request may be sent to another target.
+	 * Determine whether the request may be sent to another target.
 	 * <p>
-	 * This is the only place that answers the question: a request that did not run may
-	 * always be sent again; one that may have run only if it is repeatable and its caller
-	 * has seen nothing; one that ran never.
+	 * Once output was delivered, no further attempt is allowed. Before that, a request
+	 * that did not run may be retried, one that may have run only if it is repeatable,
+	 * and one that ran may not.
 	 * @param repeatable whether the caller allows the request to run more than once
-	 * @param callerHasSeenOutput whether any output has reached the caller
+	 * @param outputDelivered whether any output has reached the caller
 	 * @return {@code true} if another attempt is allowed
 	 */
-	public boolean allowsAnotherAttempt(boolean repeatable, boolean callerHasSeenOutput) {
-		if (callerHasSeenOutput) {
+	public boolean allowsAnotherAttempt(boolean repeatable, boolean outputDelivered) {
+		if (outputDelivered) {
 			return false;
 		}
 		return switch (this) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/verdict/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/verdict/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Says whether a request may have run, and what a refused caller may do next.
+ * Refusals of requests and the verdict on whether a request may have run.
  */
 package dev.laneworks.core.verdict;
--- a/laneworks-core/src/test/java/dev/laneworks/core/serving/ServingPlanTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/serving/ServingPlanTests.java
@@ -10,7 +10,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link ServingPlan} and {@link RouteSpec}.
+ * Tests for {@link ServingPlan} and {@link RouteSpec}. They guard against requests sent
+ * to the wrong route or service.
  */
 class ServingPlanTests {
 
@@ -28,17 +29,17 @@
 	}
 
 	@Test
-	void needsKeysOnlyWhereItHasAccounts() {
+	void needsKeysOnlyWithAccounts() {
 		assertThat(plan(List.of()).needsKeys()).isFalse();
 		AccountGrant grant = new AccountGrant("acme", OptionalInt.of(1), AllowedRegions.any());
 		ServingPlan plan = new ServingPlan(1, List.of(), Map.of(), Map.of("key", grant), LIMITS);
 		assertThat(plan.needsKeys()).isTrue();
 		assertThat(plan.account("key")).isEqualTo(Optional.of(grant));
-		assertThat(plan.account("taken-away")).isEqualTo(Optional.empty());
+		assertThat(plan.account("revoked")).isEqualTo(Optional.empty());
 	}
 
 	@Test
-	void splitsARouteByWeight() {
+	void splitsRequestsOfARouteByWeight() {
 		RouteSpec route = new RouteSpec("r", "h", "/", RequestKind.SAFE, 1_000, 100, 0, 0, 1, false,
 				List.of(new WeightedService("a", 90), new WeightedService("b", 10), new WeightedService("none", 0)),
 				AllowedRegions.any());
@@ -49,7 +50,7 @@
 	}
 
 	@Test
-	void answersWithTheFirstServiceWhereAllWeightsAreZero() {
+	void selectsTheFirstServiceIfAllWeightsAreZero() {
 		RouteSpec route = new RouteSpec("r", "h", "/", RequestKind.SAFE, 1_000, 100, 0, 0, 1, false,
 				List.of(new WeightedService("a", 0), new WeightedService("b", 0)), AllowedRegions.any());
 		assertThat(route.serviceAt(0.5)).isEqualTo("a");
--- a/laneworks-core/src/test/java/dev/laneworks/core/verdict/VerdictTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/verdict/VerdictTests.java
@@ -5,12 +5,12 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link Verdict}.
+ * Tests for {@link Verdict}. They guard against retries of requests that may have run.
  */
 class VerdictTests {
 
 	@Test
-	void notRunAllowsAnotherAttemptUntilOutputWasSeen() {
+	void notRunAllowsAnotherAttemptUntilOutputIsDelivered() {
 		assertThat(Verdict.NOT_RUN.allowsAnotherAttempt(false, false)).isTrue();
 		assertThat(Verdict.NOT_RUN.allowsAnotherAttempt(true, true)).isFalse();
 	}
