--- a/laneworks-core/src/main/java/dev/laneworks/core/audit/AuditEvent.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/audit/AuditEvent.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * One decision and its cause.
+ * Record of one decision and its cause.
  *
- * @param kind what it is about
- * @param subject the request, generation, target or version that it concerns
+ * @param kind the kind of the decision
+ * @param subject the request, generation, target or version that the decision concerns
  * @param account the client account, or empty text
  * @param target the target, or empty text
- * @param cause why it was decided so
+ * @param cause the cause of the decision, as text for operators
  * @since 0.1
  */
 public record AuditEvent(AuditKind kind, String subject, String account, String target, String cause) {
@@ -23,12 +23,13 @@
 	}
 
 	/**
-	 * Create an event that concerns no account.
-	 * @param kind what it is about
-	 * @param subject what it concerns
+	 * Create an event without a client account.
+	 * @param kind the kind of the decision
+	 * @param subject the request, generation, target or version that the decision
+	 * concerns
 	 * @param target the target, or empty text
-	 * @param cause why it was decided so
-	 * @return the event
+	 * @param cause the cause of the decision, as text for operators
+	 * @return an event whose account is empty text
 	 */
 	public static AuditEvent of(AuditKind kind, String subject, String target, String cause) {
 		return new AuditEvent(kind, subject, "", target, cause);
--- a/laneworks-core/src/main/java/dev/laneworks/core/audit/AuditKind.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/audit/AuditKind.java
@@ -3,95 +3,95 @@
 import java.util.Locale;
 
 /**
- * What an audit event is about.
+ * Kind of an {@link AuditEvent}.
  *
  * @since 0.1
  */
 public enum AuditKind {
 
-	/** A configuration came in force. */
+	/** A configuration came into force. */
 	CONFIGURATION_ACCEPTED,
 
 	/** A configuration was refused. */
 	CONFIGURATION_REFUSED,
 
-	/** The configuration service was lost, or is back. */
+	/** The configuration service became unreachable or reachable again. */
 	CONFIGURATION_SERVICE,
 
-	/** A target was chosen for an attempt. */
+	/** A target was selected for an attempt. */
 	ROUTED,
 
-	/** An attempt is to be followed by another. */
+	/** An attempt will be followed by another one. */
 	RETRIED,
 
-	/** A request was refused, or ended early. */
+	/** A request was refused or ended early. */
 	REFUSED,
 
 	/** A request was admitted to its target. */
 	ADMITTED,
 
-	/** A generation was paused to free memory. */
+	/** A generation was preempted to free memory. */
 	YIELDED,
 
-	/** A paused generation was resumed. */
+	/** A preempted generation was resumed. */
 	RESUMED,
 
-	/** A reader took over or came back to a generation. */
+	/** A reader attached or reattached to a generation. */
 	ATTACHED,
 
-	/** A generation was cancelled because nobody reads it. */
+	/** A generation was cancelled because it has no reader. */
 	CANCELLED,
 
-	/** An attempt or a key was barred from running. */
+	/** An attempt or a key was revoked. */
 	BARRED,
 
-	/** A target was set aside or taken back. */
+	/** A target was ejected or its ejection ended. */
 	TARGET_HEALTH,
 
 	/** A link came up or went down. */
 	LINK,
 
-	/** The process starts to leave. */
+	/** The process started draining. */
 	LEAVING,
 
-	/** The process was paused and noticed it. */
+	/** A process pause was detected. */
 	PAUSED,
 
-	/** An order was given to a target. */
+	/** A command was sent to a target. */
 	ORDERED,
 
-	/** An operator's plan was made or confirmed. */
+	/** An operator's plan was created or confirmed. */
 	PLANNED,
 
-	/** A target came, is leaving or is gone. */
+	/** A target was added, is draining or was removed. */
 	MEMBERSHIP,
 
-	/** A data centre's targets are to be sent nothing more, or take work again. */
+	/** The evacuation of a data centre started or ended. */
 	EVACUATION,
 
-	/** What stands under a key of the store can't be used. */
+	/** An item of the store is invalid. */
 	ITEM_REFUSED,
 
-	/** A request was accepted at the door. */
+	/** A request was accepted at ingress. */
 	ACCEPTED,
 
-	/** A request got its target's answer, or its stream ended whole. */
+	/** A request was answered by its target, or its stream completed. */
 	ANSWERED,
 
-	/** A stream was broken off before its end. */
+	/** A stream was aborted before its end. */
 	CUT,
 
-	/** A target ended under a request. */
+	/** A target crashed while executing a request. */
 	SUSPECTED,
 
-	/** A request is kept from targets, or is not any more. */
+	/** The quarantine of a request started or ended. */
 	QUARANTINED,
 
-	/** A running generation is being copied to another target, or goes on there. */
+	/** A running generation is being copied to another target or has resumed there. */
 	MOVED;
 
 	/**
-	 * Return the form used in logs.
+	 * Return the label used in logs.
 	 * @return the lower-case name with hyphens
 	 */
 	public String label() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/audit/AuditSink.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/audit/AuditSink.java
@@ -1,7 +1,7 @@
 package dev.laneworks.core.audit;
 
 /**
- * Takes audit events.
+ * Receiver of audit events.
  *
  * @since 0.1
  */
@@ -9,8 +9,8 @@
 public interface AuditSink {
 
 	/**
-	 * Take an event.
-	 * @param event the event
+	 * Record an event.
+	 * @param event the decision and its cause
 	 */
 	void record(AuditEvent event);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/audit/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/audit/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Records what was decided and why.
+ * Audit events that record decisions and their causes.
  */
 package dev.laneworks.core.audit;
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/EngineAnswer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/EngineAnswer.java
@@ -4,12 +4,13 @@
 import java.util.OptionalLong;
 
 /**
- * What an engine answered to the question whether it is leaving.
+ * Answer of an engine to the query whether it is draining.
  *
- * @param outcome what became of the question
- * @param leavesMillis in how many milliseconds it leaves; empty where it does not tell
- * @param startMillis when the run that answers started, in milliseconds of its own time
- * of day; empty where it does not tell
+ * @param outcome the result of the query
+ * @param leavesMillis the time until the engine stops, in milliseconds; empty if the
+ * engine does not report it
+ * @param startMillis the start time of the answering incarnation, in milliseconds of the
+ * engine's wall clock; empty if the engine does not report it
  * @since 0.2
  */
 public record EngineAnswer(Outcome outcome, OptionalLong leavesMillis, OptionalLong startMillis) {
@@ -21,39 +22,39 @@
 	}
 
 	/**
-	 * Create an answer that does not tell when the run that answers started.
-	 * @param outcome what became of the question
-	 * @param leavesMillis in how many milliseconds it leaves; empty where it does not
-	 * tell
+	 * Create an answer without a start time.
+	 * @param outcome the result of the query
+	 * @param leavesMillis the time until the engine stops, in milliseconds; empty if the
+	 * engine does not report it
 	 */
 	public EngineAnswer(Outcome outcome, OptionalLong leavesMillis) {
 		this(outcome, leavesMillis, OptionalLong.empty());
 	}
 
 	/**
-	 * Return an answer that tells no time.
-	 * @param outcome what became of the question
-	 * @return the answer
+	 * Create an answer without any time.
+	 * @param outcome the result of the query
+	 * @return an answer with the outcome only
 	 */
 	public static EngineAnswer of(Outcome outcome) {
 		return new EngineAnswer(outcome, OptionalLong.empty());
 	}
 
 	/**
-	 * What became of a question.
+	 * Result of a query.
 	 */
 	public enum Outcome {
 
-		/** The engine takes work. */
+		/** The engine accepts requests. */
 		STAYS,
 
-		/** The engine is leaving. */
+		/** The engine is draining. */
 		LEAVES,
 
-		/** The engine's host answered that nothing listens there. */
+		/** The engine's host refused the connection because no process listens there. */
 		REFUSED,
 
-		/** Nothing was heard, or nothing that can be understood. */
+		/** There was no answer or no valid one. */
 		UNKNOWN
 
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/InquiryOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/InquiryOutputs.java
@@ -3,31 +3,31 @@
 import dev.laneworks.core.directory.ListedTarget;
 
 /**
- * What {@link LeavingInquiry} needs from its process.
+ * Callbacks by which {@link LeavingInquiry} queries engines and reports results.
  *
  * @since 0.2
  */
 public interface InquiryOutputs {
 
 	/**
-	 * Ask an engine whether it is leaving; the answer comes to
-	 * {@link LeavingInquiry#answered}, in any case.
-	 * @param engine the engine
+	 * Query an engine whether it is draining. Every query must be answered by a call of
+	 * {@link LeavingInquiry#answered}, also after a failure.
+	 * @param engine the list entry of the engine
 	 */
 	void ask(ListedTarget engine);
 
 	/**
-	 * Take that an engine said that it is leaving, and when.
-	 * @param engine the engine
-	 * @param answer what it said
-	 * @param now the time in milliseconds
+	 * Handle the report of an engine that it is draining.
+	 * @param engine the list entry of the engine
+	 * @param answer the engine's answer, with the time until it stops
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void leaves(ListedTarget engine, EngineAnswer answer, long now);
 
 	/**
-	 * Take that nothing listens at an engine's address.
-	 * @param engine the engine
-	 * @param now the time in milliseconds
+	 * Handle a refused connection to an engine's address.
+	 * @param engine the list entry of the engine
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void refused(ListedTarget engine, long now);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
@@ -13,27 +13,26 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * Asks engines whether they are leaving, while the list of targets can't be read.
+ * Queries engines directly whether they are draining, while the list of targets is
+ * unavailable.
  * <p>
- * A notice that is given meanwhile is heard by nobody otherwise, and generations end with
- * their engines. Each engine is asked by one process, which tells the others. An engine
- * that does not answer says nothing, and one that does not say when it leaves waits for
- * the list itself: it serves on until the list has taken its word, and generations moved
- * away from several at once would crowd the other engines. Pure code over explicit time;
- * not thread-safe.
+ * Without the list, a reclaim notice would go unnoticed and generations would end with
+ * their engines. Each engine is queried by one process, which notifies the others. A
+ * failed query has no effect. An engine that does not report when it stops continues to
+ * serve until the list is updated; its generations are not moved, since moving them from
+ * several such engines at once would overload the others. Time is passed as a parameter.
+ * Not thread-safe.
  *
  * @since 0.2
  */
 public final class LeavingInquiry {
 
-	/**
-	 * How often an engine is asked, in milliseconds: a fifth of a short notice.
-	 */
-	private static final long ASK_MILLIS = 300;
+	/** Shorter than the shortest reclaim notice, so that moves can still complete. */
+	private static final long QUERY_INTERVAL_MILLIS = 300;
 
-	private final LongPredicate isListSilent;
+	private final LongPredicate isListUnavailable;
 
-	private final Predicate<ListedTarget> isOurs;
+	private final Predicate<ListedTarget> isResponsible;
 
 	private final Supplier<List<ListedTarget>> engines;
 
@@ -41,70 +40,71 @@
 
 	private final Timers timers;
 
-	/** The runs of engines whose answer is awaited. */
-	private final Set<TargetRun> asked = new HashSet<>();
+	/** Incarnations with an unanswered query. */
+	private final Set<TargetRun> unanswered = new HashSet<>();
 
 	/**
-	 * Create an inquiry; {@link #start} begins it.
-	 * @param isListSilent tells whether the list can't be read at a time, in milliseconds
-	 * @param isOurs tells whether it is up to this process to ask an engine
-	 * @param engines gives the engines that take work
-	 * @param outputs asks, and takes what was heard
-	 * @param timers what is due later
+	 * Create an inquiry, which is inactive until {@link #start} is called.
+	 * @param isListUnavailable determines whether the list is unavailable at a time in
+	 * milliseconds
+	 * @param isResponsible determines whether this process is responsible for querying an
+	 * engine
+	 * @param engines supplies the engines that accept requests
+	 * @param outputs sends the queries and receives the results
+	 * @param timers schedules the queries
 	 */
-	public LeavingInquiry(LongPredicate isListSilent, Predicate<ListedTarget> isOurs,
+	public LeavingInquiry(LongPredicate isListUnavailable, Predicate<ListedTarget> isResponsible,
 			Supplier<List<ListedTarget>> engines, InquiryOutputs outputs, Timers timers) {
-		this.isListSilent = Objects.requireNonNull(isListSilent, "isListSilent must not be null");
-		this.isOurs = Objects.requireNonNull(isOurs, "isOurs must not be null");
+		this.isListUnavailable = Objects.requireNonNull(isListUnavailable, "isListUnavailable must not be null");
+		this.isResponsible = Objects.requireNonNull(isResponsible, "isResponsible must not be null");
 		this.engines = Objects.requireNonNull(engines, "engines must not be null");
 		this.outputs = Objects.requireNonNull(outputs, "outputs must not be null");
 		this.timers = Objects.requireNonNull(timers, "timers must not be null");
 	}
 
 	/**
-	 * Look from now on whether engines are to be asked.
-	 * @param now the time in milliseconds
+	 * Start periodic checks, which query engines while the list is unavailable.
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void start(long now) {
-		if (this.isListSilent.test(now)) {
-			this.engines.get().stream().filter(this.isOurs).forEach(this::ask);
+		if (this.isListUnavailable.test(now)) {
+			this.engines.get().stream().filter(this.isResponsible).forEach(this::query);
 		}
-		this.timers.at(now + ASK_MILLIS, this::start);
+		this.timers.at(now + QUERY_INTERVAL_MILLIS, this::start);
 	}
 
-	// An engine whose answer is awaited isn't asked again.
-	private void ask(ListedTarget engine) {
-		if (this.asked.add(engine.run())) {
+	// Sends no second query to an incarnation with an unanswered one.
+	private void query(ListedTarget engine) {
+		if (this.unanswered.add(engine.run())) {
 			this.outputs.ask(engine);
 		}
 	}
 
 	/**
-	 * Take an engine's answer. It is heard also where the list is back meanwhile, since
-	 * it is the engine's own word.
-	 * @param engine the engine
-	 * @param answer the answer
-	 * @param now the time in milliseconds
+	 * Handle the answer of an engine, also if the list has become available meanwhile.
+	 * @param engine the list entry of the engine, as passed to {@link InquiryOutputs#ask}
+	 * @param answer the engine's answer or the failure of the query
+	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void answered(ListedTarget engine, EngineAnswer answer, long now) {
-		this.asked.remove(engine.run());
+		this.unanswered.remove(engine.run());
 		switch (answer.outcome()) {
-			case LEAVES -> takeLeaving(engine, answer, now);
+			case LEAVES -> handleDraining(engine, answer, now);
 			case REFUSED -> this.outputs.refused(engine, now);
 			case STAYS, UNKNOWN -> {
 			}
 		}
 	}
 
-	// The engine may have started again since it was listed, and another may have got its
-	// address: neither speaks for the run that was asked.
-	private static boolean isOfRunAsked(ListedTarget engine, EngineAnswer answer) {
+	// The engine may have restarted since it was listed, or another engine may have its
+	// address. Such an answer does not apply to the queried incarnation.
+	private static boolean isFromQueriedIncarnation(ListedTarget engine, EngineAnswer answer) {
 		return answer.startMillis().isEmpty() || engine.startMillis().isEmpty()
 				|| answer.startMillis().equals(engine.startMillis());
 	}
 
-	private void takeLeaving(ListedTarget engine, EngineAnswer answer, long now) {
-		if (answer.leavesMillis().isPresent() && isOfRunAsked(engine, answer)) {
+	private void handleDraining(ListedTarget engine, EngineAnswer answer, long now) {
+		if (answer.leavesMillis().isPresent() && isFromQueriedIncarnation(engine, answer)) {
 			this.outputs.leaves(engine, answer, now);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Asks engines themselves whether they are leaving, while their list can't be read.
+ * Direct queries to engines whether they are draining, while the list of targets is
+ * unavailable.
  */
 package dev.laneworks.core.inquiry;
--- a/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanism.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanism.java
@@ -5,69 +5,71 @@
 import java.util.Optional;
 
 /**
- * A mechanism that an entry can do without.
+ * Optional mechanism of an entry, which can be disabled in the settings.
  *
  * @since 0.2
  */
 public enum Mechanism {
 
-	/** Copies that engines bring up to date while a generation runs. */
+	/** Live copies of KV caches that engines update while a generation runs. */
 	RUNNING_COPIES,
 
-	/** Copies that are made on order and brought up to date now and then. */
+	/** Standby copies that are created on demand and updated periodically. */
 	STANDBY_COPIES,
 
-	/** Copies that are begun once an engine's leaving was heard. */
+	/** Copies that are started when an engine's reclaim notice is received. */
 	COPIES_AT_NOTICE,
 
-	/** Entries copying away from an engine one after the other. */
+	/** Coordination by which entries copy from the same engine one at a time. */
 	COPY_TURNS,
 
-	/** What entries tell each other of their work. */
+	/** Gossip of load updates between entries. */
 	ENTRY_NEWS,
 
-	/** One reader of the platform's store for several entries. */
+	/** One watcher of the platform's store for several entries. */
 	SHARED_READING,
 
-	/** Asking engines whether they are leaving while the store is silent. */
+	/**
+	 * Direct queries to engines whether they are draining while the store is unavailable.
+	 */
 	LEAVING_INQUIRY,
 
-	/** Choosing targets of the own data centre before others. */
+	/** Preference for targets of the same data centre. */
 	NEAR_TARGETS,
 
-	/** Setting targets aside that answer worse than their peers. */
+	/** Outlier ejection of targets that answer worse than their peers. */
 	EJECTION,
 
-	/** Choosing plain targets by how fast they answer. */
+	/** Selection of the targets of plain services by their response times. */
 	LEARNED_SPEED,
 
-	/** Counting what other entries spent of the retry budget. */
+	/** Inclusion of the retries of other entries in the retry budget. */
 	SHARED_BUDGET,
 
-	/** Generations that begin spread over the engines that are about as good. */
+	/** Distribution of new generations over engines of about equal suitability. */
 	SPREAD_PLACING,
 
-	/** Refusing generations at once that no engine would begin in time. */
+	/** Immediate refusal of generations that no engine would start in time. */
 	ENGINE_ADMISSION,
 
-	/** Limits of connections that follow the time which they take. */
+	/** Connection limits adapted to the time that connections take. */
 	LEARNED_CONNECT_LIMIT,
 
-	/** Keeping requests from targets under which targets ended. */
+	/** Quarantine of requests during whose execution targets crashed. */
 	REQUEST_QUARANTINE;
 
 	/**
 	 * Find a mechanism by its label.
-	 * @param label the label
-	 * @return the mechanism, if there is one
+	 * @param label the label as used in settings
+	 * @return the mechanism, or empty if the label is unknown
 	 */
 	public static Optional<Mechanism> of(String label) {
 		return Arrays.stream(values()).filter((m) -> m.label().equals(label)).findFirst();
 	}
 
 	/**
-	 * Return how the mechanism is called in settings.
-	 * @return lower case, words joined by hyphens
+	 * Return the label of the mechanism in settings.
+	 * @return the lower-case name with hyphens
 	 */
 	public String label() {
 		return name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanisms.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanisms.java
@@ -7,9 +7,9 @@
 import dev.laneworks.core.document.DocumentObject;
 
 /**
- * The mechanisms that an entry uses.
+ * Set of the mechanisms that an entry uses.
  *
- * @param off those that are switched off
+ * @param off the disabled mechanisms
  * @since 0.2
  */
 public record Mechanisms(Set<Mechanism> off) {
@@ -19,18 +19,18 @@
 	}
 
 	/**
-	 * Return the use of all mechanisms.
-	 * @return the mechanisms
+	 * Create an instance that enables all mechanisms.
+	 * @return an instance without disabled mechanisms
 	 */
 	public static Mechanisms all() {
 		return new Mechanisms(EnumSet.noneOf(Mechanism.class));
 	}
 
 	/**
-	 * Read which mechanisms are switched off.
-	 * @param object the object that holds the list of their labels
-	 * @param name the list's name; a missing one switches nothing off
-	 * @return the mechanisms
+	 * Read the disabled mechanisms from a document.
+	 * @param object the object that contains the list of labels
+	 * @param name the name of the list; a missing list disables nothing
+	 * @return the mechanisms, with none disabled if a label is unknown
 	 */
 	public static Mechanisms read(DocumentObject object, String name) {
 		Set<Mechanism> off = EnumSet.noneOf(Mechanism.class);
@@ -45,9 +45,9 @@
 	}
 
 	/**
-	 * Return whether a mechanism is used.
-	 * @param mechanism the mechanism
-	 * @return whether it is not switched off
+	 * Determine whether a mechanism is enabled.
+	 * @param mechanism the mechanism to look up
+	 * @return {@code false} if the mechanism is disabled
 	 */
 	public boolean use(Mechanism mechanism) {
 		return !this.off.contains(mechanism);
--- a/laneworks-core/src/main/java/dev/laneworks/core/mechanism/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/mechanism/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The mechanisms of an entry that can be switched off, to measure what each is worth.
+ * Optional mechanisms of an entry, which can be disabled to measure their effect.
  */
 package dev.laneworks.core.mechanism;
--- a/laneworks-core/src/main/java/dev/laneworks/core/stream/OnceTicket.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/stream/OnceTicket.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * Names the one sidecar process that may run a request, given to the caller before its
- * first try.
+ * Ticket that binds a request to the only sidecar process that may run it, issued to the
+ * caller before its first attempt.
  *
- * @param target the home target
- * @param incarnation the incarnation of the home's sidecar when the ticket was made
- * @param account the client account
- * @param identity names the request, unique among all tickets
+ * @param target the name of the home target
+ * @param incarnation the incarnation of the home's sidecar when the ticket was issued
+ * @param account the client account to which the ticket was issued
+ * @param identity the identifier of the request, unique among all tickets
  * @since 0.1
  */
 public record OnceTicket(String target, long incarnation, String account, String identity) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/stream/TokenSealer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/stream/TokenSealer.java
@@ -12,37 +12,36 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Seals small values that callers carry for the system, so that no caller can make or
- * change one.
+ * Creates and verifies the signed tokens in which callers hold positions and tickets.
  * <p>
- * The sealed form is URL-safe Base64 of a truncated HMAC-SHA256 and the payload. It is
- * authenticated but not secret. Not thread-safe.
+ * A token is the URL-safe Base64 encoding of a truncated HMAC-SHA256 and the payload. It
+ * is authenticated but not encrypted. Not thread-safe.
  *
  * @since 0.1
  */
 public final class TokenSealer {
 
-	/** The least length of a secret, in bytes. */
+	/** Minimum length of the secret, in bytes. */
 	public static final int MIN_SECRET_BYTES = 16;
 
 	private static final String ALGORITHM = "HmacSHA256";
 
 	private static final int TAG_BYTES = 12;
 
-	private static final int MAX_SEALED_LENGTH = 1024;
+	private static final int MAX_TOKEN_LENGTH = 1024;
 
 	private static final int POSITION_FIELDS = 5;
 
 	private static final int TICKET_FIELDS = 4;
 
-	private static final int HEX = 16;
+	private static final int HEX_RADIX = 16;
 
 	private final Mac mac;
 
 	/**
-	 * Create a sealer.
-	 * @param secret the secret that all entries share, at least
-	 * {@value #MIN_SECRET_BYTES} bytes
+	 * Create an instance with the given secret.
+	 * @param secret the secret shared by all entries, at least {@value #MIN_SECRET_BYTES}
+	 * bytes
 	 */
 	public TokenSealer(byte[] secret) {
 		if (secret.length < MIN_SECRET_BYTES) {
@@ -59,58 +58,60 @@
 	}
 
 	/**
-	 * Seal a position.
-	 * @param position the position
-	 * @return the sealed form, safe in a header and in an event's identity
+	 * Create a signed token of a position.
+	 * @param position the position to encode
+	 * @return the token, which is safe in a header and in the identifier of an event
 	 */
 	public String sealPosition(StreamPosition position) {
-		return seal(TokenType.POSITION, position.target(), Long.toHexString(position.incarnation()),
+		return sign(TokenType.POSITION, position.target(), Long.toHexString(position.incarnation()),
 				position.generation(), position.account(), Long.toString(position.offset()));
 	}
 
 	/**
-	 * Open a sealed position.
-	 * @param sealed the sealed form
-	 * @return the position, or empty if it was not sealed with this secret
+	 * Verify a token and decode its position.
+	 * @param token the token as received from a caller
+	 * @return the position, or empty if the token was not signed with this secret or does
+	 * not encode a position
 	 */
-	public Optional<StreamPosition> openPosition(String sealed) {
-		return open(TokenType.POSITION, sealed, POSITION_FIELDS)
-			.map((f) -> new StreamPosition(f[0], Long.parseUnsignedLong(f[1], HEX), f[2], f[3], Long.parseLong(f[4])));
+	public Optional<StreamPosition> openPosition(String token) {
+		return verify(TokenType.POSITION, token, POSITION_FIELDS).map((f) -> new StreamPosition(f[0],
+				Long.parseUnsignedLong(f[1], HEX_RADIX), f[2], f[3], Long.parseLong(f[4])));
 	}
 
 	/**
-	 * Seal a ticket.
-	 * @param ticket the ticket
-	 * @return the sealed form, safe in a header
+	 * Create a signed token of a ticket.
+	 * @param ticket the ticket to encode
+	 * @return the token, which is safe in a header
 	 */
 	public String sealTicket(OnceTicket ticket) {
-		return seal(TokenType.TICKET, ticket.target(), Long.toHexString(ticket.incarnation()), ticket.account(),
+		return sign(TokenType.TICKET, ticket.target(), Long.toHexString(ticket.incarnation()), ticket.account(),
 				ticket.identity());
 	}
 
 	/**
-	 * Open a sealed ticket.
-	 * @param sealed the sealed form
-	 * @return the ticket, or empty if it was not sealed with this secret
+	 * Verify a token and decode its ticket.
+	 * @param token the token as received from a caller
+	 * @return the ticket, or empty if the token was not signed with this secret or does
+	 * not encode a ticket
 	 */
-	public Optional<OnceTicket> openTicket(String sealed) {
-		return open(TokenType.TICKET, sealed, TICKET_FIELDS)
-			.map((f) -> new OnceTicket(f[0], Long.parseUnsignedLong(f[1], HEX), f[2], f[3]));
+	public Optional<OnceTicket> openTicket(String token) {
+		return verify(TokenType.TICKET, token, TICKET_FIELDS)
+			.map((f) -> new OnceTicket(f[0], Long.parseUnsignedLong(f[1], HEX_RADIX), f[2], f[3]));
 	}
 
-	private String seal(TokenType type, String... fields) {
+	private String sign(TokenType type, String... fields) {
 		byte[] payload = (type.code + String.join("\0", fields)).getBytes(StandardCharsets.UTF_8);
-		byte[] sealed = ByteBuffer.allocate(TAG_BYTES + payload.length).put(tag(payload)).put(payload).array();
-		return Base64.getUrlEncoder().withoutPadding().encodeToString(sealed);
+		byte[] token = ByteBuffer.allocate(TAG_BYTES + payload.length).put(tag(payload)).put(payload).array();
+		return Base64.getUrlEncoder().withoutPadding().encodeToString(token);
 	}
 
-	private Optional<String[]> open(TokenType type, String sealed, int fieldCount) {
-		if (sealed.length() > MAX_SEALED_LENGTH) {
+	private Optional<String[]> verify(TokenType type, String token, int fieldCount) {
+		if (token.length() > MAX_TOKEN_LENGTH) {
 			return Optional.empty();
 		}
 		byte[] bytes;
 		try {
-			bytes = Base64.getUrlDecoder().decode(sealed);
+			bytes = Base64.getUrlDecoder().decode(token);
 		}
 		catch (IllegalArgumentException ex) {
 			return Optional.empty();
--- a/laneworks-core/src/main/java/dev/laneworks/core/stream/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/stream/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Positions in a generation's output and the log that output is read from.
+ * Output log of a generation, positions in the output, and the signed tokens of positions
+ * and tickets.
  */
 package dev.laneworks.core.stream;
--- a/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
@@ -14,78 +14,79 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link LeavingInquiry}.
+ * Tests for {@link LeavingInquiry}. They guard against missed reclaim notices and against
+ * answers applied to the wrong incarnation.
  */
 class LeavingInquiryTests {
 
-	private final List<String> heard = new ArrayList<>();
+	private final List<String> calls = new ArrayList<>();
 
 	private final Timers timers = new Timers();
 
 	private final List<ListedTarget> engines = new ArrayList<>(List.of(engine("a"), engine("b")));
 
-	private boolean silent;
+	private boolean listUnavailable;
 
-	private final Set<String> ours = new HashSet<>(Set.of("a", "b"));
+	private final Set<String> responsibleFor = new HashSet<>(Set.of("a", "b"));
 
-	private final LeavingInquiry inquiry = new LeavingInquiry((t) -> this.silent, (e) -> this.ours.contains(e.id()),
-			() -> this.engines, new Recorder(), this.timers);
+	private final LeavingInquiry inquiry = new LeavingInquiry((t) -> this.listUnavailable,
+			(e) -> this.responsibleFor.contains(e.id()), () -> this.engines, new Recorder(), this.timers);
 
 	@Test
-	void asksEachEngineAgainAndAgainWhileTheListIsSilent() {
+	void queriesEnginesPeriodicallyWhileTheListIsUnavailable() {
 		this.inquiry.start(0);
-		assertThat(this.heard).isEmpty();
-		this.silent = true;
+		assertThat(this.calls).isEmpty();
+		this.listUnavailable = true;
 		this.timers.run(300);
-		assertThat(this.heard).containsExactly("ask a", "ask b").inOrder();
+		assertThat(this.calls).containsExactly("ask a", "ask b").inOrder();
 		this.inquiry.answered(engine("a"), EngineAnswer.of(Outcome.STAYS), 310);
 		this.timers.run(600);
-		assertThat(this.heard).containsExactly("ask a", "ask b", "ask a").inOrder();
-		this.silent = false;
+		assertThat(this.calls).containsExactly("ask a", "ask b", "ask a").inOrder();
+		this.listUnavailable = false;
 		this.inquiry.answered(engine("b"), EngineAnswer.of(Outcome.UNKNOWN), 610);
 		this.timers.run(900);
-		assertThat(this.heard).hasSize(3);
+		assertThat(this.calls).hasSize(3);
 	}
 
 	@Test
-	void leavesTheAskingToAnother() {
-		this.ours.remove("a");
-		this.silent = true;
+	void queriesOnlyEnginesItIsResponsibleFor() {
+		this.responsibleFor.remove("a");
+		this.listUnavailable = true;
 		this.inquiry.start(0);
-		assertThat(this.heard).containsExactly("ask b");
+		assertThat(this.calls).containsExactly("ask b");
 	}
 
 	@Test
-	void anEngineThatDoesNotSayWhenItLeavesServesOn() {
+	void ignoresDrainingWithoutAStopTime() {
 		this.inquiry.answered(engine("a"), EngineAnswer.of(Outcome.LEAVES), 10);
-		assertThat(this.heard).isEmpty();
+		assertThat(this.calls).isEmpty();
 	}
 
 	@Test
-	void passesOnWhatAnEngineSaidAndThatNothingListens() {
+	void reportsDrainingAndRefusedConnections() {
 		this.inquiry.answered(engine("a"), new EngineAnswer(Outcome.LEAVES, OptionalLong.of(900)), 10);
 		this.inquiry.answered(engine("b"), EngineAnswer.of(Outcome.REFUSED), 10);
-		assertThat(this.heard).containsExactly("a leaves in 900", "b refused").inOrder();
+		assertThat(this.calls).containsExactly("a leaves in 900", "b refused").inOrder();
 	}
 
 	@Test
-	void whatAnotherRunSaysDoesNotFallOnTheOneThatWasAsked() {
-		ListedTarget asked = engine("a").startedAt(OptionalLong.of(5));
+	void ignoresAnswersOfAnotherIncarnation() {
+		ListedTarget queried = engine("a").startedAt(OptionalLong.of(5));
 		OptionalLong soon = OptionalLong.of(900);
-		this.inquiry.answered(asked, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(4)), 10);
-		assertThat(this.heard).isEmpty();
-		this.inquiry.answered(asked, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(5)), 20);
-		assertThat(this.heard).containsExactly("a leaves in 900");
+		this.inquiry.answered(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(4)), 10);
+		assertThat(this.calls).isEmpty();
+		this.inquiry.answered(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(5)), 20);
+		assertThat(this.calls).containsExactly("a leaves in 900");
 	}
 
 	@Test
-	void aRunIsAskedThoughTheAnswerOfTheFormerOneIsAwaited() {
+	void queriesANewIncarnationBeforeTheFormerOneAnswers() {
 		this.engines.remove(1);
-		this.silent = true;
+		this.listUnavailable = true;
 		this.inquiry.start(0);
 		this.engines.set(0, engine("a").startedAt(OptionalLong.of(5)));
 		this.timers.run(300);
-		assertThat(this.heard).containsExactly("ask a", "ask a");
+		assertThat(this.calls).containsExactly("ask a", "ask a");
 	}
 
 	private static ListedTarget engine(String id) {
@@ -96,17 +97,17 @@
 
 		@Override
 		public void ask(ListedTarget engine) {
-			LeavingInquiryTests.this.heard.add("ask " + engine.id());
+			LeavingInquiryTests.this.calls.add("ask " + engine.id());
 		}
 
 		@Override
 		public void leaves(ListedTarget engine, EngineAnswer answer, long now) {
-			LeavingInquiryTests.this.heard.add(engine.id() + " leaves in " + answer.leavesMillis().orElse(-1));
+			LeavingInquiryTests.this.calls.add(engine.id() + " leaves in " + answer.leavesMillis().orElse(-1));
 		}
 
 		@Override
 		public void refused(ListedTarget engine, long now) {
-			LeavingInquiryTests.this.heard.add(engine.id() + " refused");
+			LeavingInquiryTests.this.calls.add(engine.id() + " refused");
 		}
 
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/stream/ChunkLogTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/stream/ChunkLogTests.java
@@ -11,22 +11,22 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 /**
- * Tests for {@link ChunkLog}.
+ * Tests for {@link ChunkLog}. They guard against lost or altered chunks.
  */
 class ChunkLogTests {
 
 	@Property(seed = "3", tries = 100)
-	void givesBackEachPiece(@ForAll @Size(max = 200) List<byte[]> pieces) {
+	void returnsEachAppendedChunk(@ForAll @Size(max = 200) List<byte[]> chunks) {
 		ChunkLog log = new ChunkLog();
-		pieces.forEach(log::append);
-		assertThat(log.size()).isEqualTo(pieces.size());
-		for (int i = 0; i < pieces.size(); i++) {
-			assertThat(log.get(i)).isEqualTo(pieces.get(i));
+		chunks.forEach(log::append);
+		assertThat(log.size()).isEqualTo(chunks.size());
+		for (int i = 0; i < chunks.size(); i++) {
+			assertThat(log.get(i)).isEqualTo(chunks.get(i));
 		}
 	}
 
 	@Test
-	void refusesAnOffsetBehindItsEnd() {
+	void rejectsAnOffsetBeyondTheEnd() {
 		assertThrows(IndexOutOfBoundsException.class, () -> new ChunkLog().get(0));
 	}
 
