--- a/laneworks-wire/src/main/java/dev/laneworks/wire/DocumentCompression.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/DocumentCompression.java
@@ -11,14 +11,11 @@
 import com.google.protobuf.ByteString;
 
 /**
- * Compresses configuration documents for the way between peers.
+ * Compresses configuration documents for transfer between peers.
  */
 final class DocumentCompression {
 
-	/**
-	 * The most that a document may grow to, in bytes; the platform holds values up to a
-	 * megabyte.
-	 */
+	/** Limits the memory that a received document may take. */
 	static final int MAX_DOCUMENT_BYTES = 4 << 20;
 
 	private static final int BUFFER_BYTES = 8192;
@@ -69,7 +66,7 @@
 			while (!inflater.finished()) {
 				int count = inflater.inflate(buffer);
 				if (count == 0 && inflater.needsInput()) {
-					throw new InvalidFrameException("the configuration is cut off");
+					throw new InvalidFrameException("the compressed configuration is truncated");
 				}
 				out.write(buffer, 0, count);
 				if (out.size() > MAX_DOCUMENT_BYTES) {
@@ -80,7 +77,7 @@
 			return out.toByteArray();
 		}
 		catch (DataFormatException ex) {
-			throw new InvalidFrameException("the configuration can't be decompressed", ex);
+			throw new InvalidFrameException("the configuration cannot be decompressed", ex);
 		}
 		finally {
 			inflater.end();
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagrams.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
@@ -13,49 +13,49 @@
 import org.tinylog.Logger;
 
 /**
- * Puts what entries tell each other into datagrams and takes it out again.
+ * Encodes the messages that entries exchange as datagrams and decodes them.
  */
-final class EntryDatagrams {
+final class EntryDatagramCodec {
 
-	/** The version of the datagrams' form; entries pass over those of another. */
+	/** Version of the datagram format; datagrams of other versions are ignored. */
 	private static final int VERSION = 2;
 
-	private EntryDatagrams() {
+	private EntryDatagramCodec() {
 	}
 
-	static byte[] of(EntryNews news) {
+	static byte[] encode(EntryNews update) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
-			.setWork(EntryNewsCodec.encode(news))
+			.setWork(EntryNewsCodec.encode(update))
 			.build()
 			.toByteArray();
 	}
 
-	static byte[] of(StoreNews news) {
+	static byte[] encode(StoreNews update) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
-			.setStore(StoreNewsCodec.encode(news))
+			.setStore(StoreNewsCodec.encode(update))
 			.build()
 			.toByteArray();
 	}
 
-	static byte[] of(StateQuestion question) {
+	static byte[] encode(StateQuestion request) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
-			.setQuestion(StateCodec.encode(question))
+			.setQuestion(StateCodec.encode(request))
 			.build()
 			.toByteArray();
 	}
 
-	static byte[] of(StatePiece piece) {
+	static byte[] encode(StatePiece chunk) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
-			.setPiece(StateCodec.encode(piece))
+			.setPiece(StateCodec.encode(chunk))
 			.build()
 			.toByteArray();
 	}
 
-	static byte[] of(List<SuspectReport> reports) {
+	static byte[] encode(List<SuspectReport> reports) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
 			.setSuspects(SuspectCodec.encode(reports))
@@ -64,21 +64,21 @@
 	}
 
 	/**
-	 * Read a datagram.
-	 * @param datagram its bytes, which may come from anywhere
-	 * @return what it holds; empty if it is of another version or no datagram of an entry
+	 * Decode a datagram.
+	 * @param datagram the received bytes, from an untrusted sender
+	 * @return the message; empty if it has another version or is malformed
 	 */
-	static Optional<Protocol.EntryDatagram> read(byte[] datagram) {
+	static Optional<Protocol.EntryDatagram> decode(byte[] datagram) {
 		try {
-			Protocol.EntryDatagram read = Protocol.EntryDatagram.parseFrom(datagram);
-			if (read.getProtocol() != VERSION) {
-				Logger.info("a datagram of protocol version {} is passed over", read.getProtocol());
+			Protocol.EntryDatagram message = Protocol.EntryDatagram.parseFrom(datagram);
+			if (message.getProtocol() != VERSION) {
+				Logger.info("ignored a datagram of protocol version {}", message.getProtocol());
 				return Optional.empty();
 			}
-			return Optional.of(read);
+			return Optional.of(message);
 		}
 		catch (InvalidProtocolBufferException ex) {
-			Logger.info("a datagram that is no news is passed over: {}", ex.getMessage());
+			Logger.info("ignored a malformed datagram: {}", ex.getMessage());
 			return Optional.empty();
 		}
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
@@ -11,42 +11,43 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Turns an entry's news of its work into their form on the wire and back.
+ * Encodes an entry's load updates for the wire and decodes them.
  */
 final class EntryNewsCodec {
 
 	private EntryNewsCodec() {
 	}
 
-	static Protocol.EntryNews encode(EntryNews news) {
+	static Protocol.EntryNews encode(EntryNews update) {
 		Protocol.EntryNews.Builder builder = Protocol.EntryNews.newBuilder()
-			.setInstance(news.instance())
-			.setIncarnation(news.incarnation())
-			.setSequence(news.sequence())
-			.setEnding(news.ending())
-			.setDataCentre(news.dataCentre())
-			.setPartial(news.partial())
-			.setAgainMillis((int) news.againMillis())
-			.addAllPeers(news.peers());
-		news.work().forEach((w) -> builder.addWork(encode(w)));
-		news.spending().forEach((s) -> builder.addSpending(encode(s)));
-		news.needs().limits().forEach((l) -> builder.addLimits(encode(l)));
-		news.needs().leaving().forEach((t) -> builder.addLeaving(TargetRunForm.write(t)));
+			.setInstance(update.instance())
+			.setIncarnation(update.incarnation())
+			.setSequence(update.sequence())
+			.setEnding(update.ending())
+			.setDataCentre(update.dataCentre())
+			.setPartial(update.partial())
+			.setAgainMillis((int) update.againMillis())
+			.addAllPeers(update.peers());
+		update.work().forEach((w) -> builder.addWork(encode(w)));
+		update.spending().forEach((s) -> builder.addSpending(encode(s)));
+		update.needs().limits().forEach((l) -> builder.addLimits(encode(l)));
+		update.needs().leaving().forEach((t) -> builder.addLeaving(TargetIncarnationFormat.format(t)));
 		return builder.build();
 	}
 
-	static EntryNews decode(Protocol.EntryNews news) {
-		List<WorkAtTarget> work = news.getWorkList().stream().map(EntryNewsCodec::decode).toList();
-		List<ServiceSpending> spending = news.getSpendingList().stream().map(EntryNewsCodec::decode).toList();
-		NeedsNews needs = new NeedsNews(news.getLimitsList().stream().map(EntryNewsCodec::decode).toList(),
-				news.getLeavingList().stream().map(TargetRunForm::read).toList());
-		return new EntryNews(news.getInstance(), news.getDataCentre(), news.getIncarnation(), news.getSequence(),
-				news.getEnding(), news.getPartial(), news.getAgainMillis(), work, spending, needs, news.getPeersList());
+	static EntryNews decode(Protocol.EntryNews update) {
+		List<WorkAtTarget> work = update.getWorkList().stream().map(EntryNewsCodec::decode).toList();
+		List<ServiceSpending> spending = update.getSpendingList().stream().map(EntryNewsCodec::decode).toList();
+		NeedsNews signals = new NeedsNews(update.getLimitsList().stream().map(EntryNewsCodec::decode).toList(),
+				update.getLeavingList().stream().map(TargetIncarnationFormat::parse).toList());
+		return new EntryNews(update.getInstance(), update.getDataCentre(), update.getIncarnation(),
+				update.getSequence(), update.getEnding(), update.getPartial(), update.getAgainMillis(), work, spending,
+				signals, update.getPeersList());
 	}
 
 	private static Protocol.WorkAtTarget encode(WorkAtTarget work) {
 		return Protocol.WorkAtTarget.newBuilder()
-			.setTarget(TargetRunForm.write(work.target()))
+			.setTarget(TargetIncarnationFormat.format(work.target()))
 			.setRequests(work.requests())
 			.setHeldTokens(work.heldTokens())
 			.setUnreadTokens(work.unreadTokens())
@@ -67,7 +68,7 @@
 
 	private static Protocol.TargetLimit encode(LimitNews limit) {
 		return Protocol.TargetLimit.newBuilder()
-			.setTarget(TargetRunForm.write(limit.target()))
+			.setTarget(TargetIncarnationFormat.format(limit.target()))
 			.setOver(limit.perSecond().isEmpty())
 			.setPerSecond(limit.perSecond().orElse(0))
 			.setAgeMillis((int) limit.ageMillis())
@@ -75,14 +76,15 @@
 	}
 
 	private static LimitNews decode(Protocol.TargetLimit limit) {
-		return new LimitNews(TargetRunForm.read(limit.getTarget()),
+		return new LimitNews(TargetIncarnationFormat.parse(limit.getTarget()),
 				limit.getOver() ? OptionalDouble.empty() : OptionalDouble.of(limit.getPerSecond()),
 				Integer.toUnsignedLong(limit.getAgeMillis()));
 	}
 
 	private static WorkAtTarget decode(Protocol.WorkAtTarget work) {
-		return new WorkAtTarget(TargetRunForm.read(work.getTarget()), work.getRequests(), work.getHeldTokens(),
-				work.getUnreadTokens(), work.getToMove(), work.getCopying(), work.getRefused(), work.getLeaving());
+		return new WorkAtTarget(TargetIncarnationFormat.parse(work.getTarget()), work.getRequests(),
+				work.getHeldTokens(), work.getUnreadTokens(), work.getToMove(), work.getCopying(), work.getRefused(),
+				work.getLeaving());
 	}
 
 	private static ServiceSpending decode(Protocol.ServiceSpending spending) {
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -21,22 +21,25 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Turns messages into frames and frames into messages.
+ * Encodes the messages of a link as frames and decodes them.
+ * <p>
+ * Every decoding method throws an {@link InvalidFrameException} if a field of the frame
+ * is out of range.
  *
  * @since 0.1
  */
 public final class FrameCodec {
 
-	/** The version of the protocol. */
+	/** Version of the link protocol; both peers must use the same one. */
 	public static final int PROTOCOL_VERSION = 1;
 
 	private FrameCodec() {
 	}
 
 	/**
-	 * Encode the first frame of a link.
-	 * @param identity who this process is
-	 * @return the frame
+	 * Encode the first frame of a link, which identifies the sender.
+	 * @param identity the identity of this process
+	 * @return the Hello frame
 	 */
 	public static Protocol.Frame encode(PeerIdentity identity) {
 		return Protocol.Frame.newBuilder()
@@ -49,9 +52,11 @@
 	}
 
 	/**
-	 * Decode the first frame of a link.
-	 * @param frame the frame
-	 * @return who the peer is
+	 * Decode the first frame of a link, which identifies the peer.
+	 * @param frame the first frame received
+	 * @return the identity that the peer announces
+	 * @throws InvalidFrameException if the frame is not a Hello or has another protocol
+	 * version
 	 */
 	public static PeerIdentity decodeHello(Protocol.Frame frame) {
 		if (!frame.hasHello()) {
@@ -59,16 +64,16 @@
 		}
 		Protocol.Hello hello = frame.getHello();
 		if (hello.getProtocol() != PROTOCOL_VERSION) {
-			throw new InvalidFrameException("the peer speaks protocol version " + hello.getProtocol()
-					+ "; this process speaks version " + PROTOCOL_VERSION);
+			throw new InvalidFrameException("the peer uses protocol version " + hello.getProtocol()
+					+ "; this process uses version " + PROTOCOL_VERSION);
 		}
 		return new PeerIdentity(hello.getName(), hello.getDataCentre(), hello.getIncarnation());
 	}
 
 	/**
-	 * Encode a message of an entry.
-	 * @param message the message
-	 * @return the frame
+	 * Encode a message from an entry.
+	 * @param message the message to encode
+	 * @return the frame to send
 	 */
 	public static Protocol.Frame encode(EntryMessage message) {
 		Protocol.Frame.Builder frame = Protocol.Frame.newBuilder();
@@ -110,9 +115,9 @@
 	}
 
 	/**
-	 * Decode a message of an entry.
-	 * @param frame the frame
-	 * @return the message, or empty if the frame is none
+	 * Decode a message from an entry.
+	 * @param frame the received frame
+	 * @return the message; empty if the frame holds no message from an entry
 	 */
 	public static Optional<EntryMessage> decodeEntryMessage(Protocol.Frame frame) {
 		EntryMessage message = switch (frame.getBodyCase()) {
@@ -120,7 +125,8 @@
 			case ATTACH -> {
 				Protocol.Attach attach = frame.getAttach();
 				yield new EntryMessage.Attach(decode(attach.getStream()), attach.getGeneration(),
-						attach.getIncarnation(), natural(attach.getOffset()), natural(attach.getCreditLimit()));
+						attach.getIncarnation(), requireNonNegative(attach.getOffset()),
+						requireNonNegative(attach.getCreditLimit()));
 			}
 			case BAR -> {
 				Protocol.Bar bar = frame.getBar();
@@ -130,7 +136,7 @@
 			case RELEASE ->
 				new EntryMessage.Release(decode(frame.getRelease().getStream()), frame.getRelease().getMayReturn());
 			case CREDIT -> new EntryMessage.Credit(decode(frame.getCredit().getStream()),
-					natural(frame.getCredit().getCreditLimit()));
+					requireNonNegative(frame.getCredit().getCreditLimit()));
 			case PROBE -> new EntryMessage.Probe();
 			case BAR_KEY -> new EntryMessage.BarKey(decode(frame.getBarKey().getKey()));
 			default -> null;
@@ -139,9 +145,9 @@
 	}
 
 	/**
-	 * Encode a message of a sidecar.
-	 * @param message the message
-	 * @return the frame
+	 * Encode a message from a sidecar.
+	 * @param message the message to encode
+	 * @return the frame to send
 	 */
 	public static Protocol.Frame encode(SidecarMessage message) {
 		Protocol.Frame.Builder frame = Protocol.Frame.newBuilder();
@@ -186,15 +192,15 @@
 	}
 
 	/**
-	 * Decode a message of a sidecar.
-	 * @param frame the frame
-	 * @return the message, or empty if the frame is none
+	 * Decode a message from a sidecar.
+	 * @param frame the received frame
+	 * @return the message; empty if the frame holds no message from a sidecar
 	 */
 	public static Optional<SidecarMessage> decodeSidecarMessage(Protocol.Frame frame) {
 		SidecarMessage message = switch (frame.getBodyCase()) {
 			case CHUNK -> {
 				Protocol.Chunk chunk = frame.getChunk();
-				yield new SidecarMessage.Chunk(decode(chunk.getStream()), natural(chunk.getOffset()),
+				yield new SidecarMessage.Chunk(decode(chunk.getStream()), requireNonNegative(chunk.getOffset()),
 						chunk.getData().toByteArray());
 			}
 			case ACCEPTED -> {
@@ -204,16 +210,16 @@
 			}
 			case END -> {
 				Protocol.End end = frame.getEnd();
-				yield new SidecarMessage.End(decode(end.getStream()), natural(end.getTotal()),
-						constant(FinishReason.values(), end.getReason()));
+				yield new SidecarMessage.End(decode(end.getStream()), requireNonNegative(end.getTotal()),
+						enumConstant(FinishReason.values(), end.getReason()));
 			}
 			case REFUSED -> decodeRefused(frame.getRefused());
 			case BAR_RESULT -> new SidecarMessage.BarResult(decode(frame.getBarResult().getStream()),
-					constant(BarOutcome.values(), frame.getBarResult().getOutcome()));
+					enumConstant(BarOutcome.values(), frame.getBarResult().getOutcome()));
 			case LOAD -> new SidecarMessage.Load(decodeLoad(frame.getLoad()));
 			case FAREWELL -> new SidecarMessage.Farewell();
 			case KEY_BAR_RESULT -> new SidecarMessage.KeyBarResult(decode(frame.getKeyBarResult().getKey()),
-					constant(BarOutcome.values(), frame.getKeyBarResult().getOutcome()));
+					enumConstant(BarOutcome.values(), frame.getKeyBarResult().getOutcome()));
 			default -> null;
 		};
 		return Optional.ofNullable(message);
@@ -221,8 +227,8 @@
 
 	/**
 	 * Encode a message about the configuration.
-	 * @param message the message
-	 * @return the frame
+	 * @param message the message to encode
+	 * @return the frame to send
 	 */
 	public static Protocol.Frame encode(ConfigurationMessage message) {
 		Protocol.Frame.Builder frame = Protocol.Frame.newBuilder();
@@ -247,21 +253,21 @@
 
 	/**
 	 * Decode a message about the configuration.
-	 * @param frame the frame
-	 * @return the message, or empty if the frame is none
+	 * @param frame the received frame
+	 * @return the message; empty if the frame holds no message about the configuration
 	 */
 	public static Optional<ConfigurationMessage> decodeConfigurationMessage(Protocol.Frame frame) {
 		ConfigurationMessage message = switch (frame.getBodyCase()) {
 			case CONFIGURATION_NOTICE -> {
 				Protocol.ConfigurationNotice notice = frame.getConfigurationNotice();
-				long age = natural(notice.getConfirmedAgePlusOne());
-				yield new ConfigurationMessage.Notice(natural(notice.getVersion()),
+				long age = requireNonNegative(notice.getConfirmedAgePlusOne());
+				yield new ConfigurationMessage.Notice(requireNonNegative(notice.getVersion()),
 						(age != 0) ? age - 1 : Long.MAX_VALUE);
 			}
 			case CONFIGURATION_REQUEST -> new ConfigurationMessage.Request();
 			case CONFIGURATION_TEXT -> {
 				Protocol.ConfigurationText text = frame.getConfigurationText();
-				yield new ConfigurationMessage.Text(natural(text.getVersion()),
+				yield new ConfigurationMessage.Text(requireNonNegative(text.getVersion()),
 						DocumentCompression.inflate(text.getDeflated(), text.getDigest()));
 			}
 			default -> null;
@@ -293,14 +299,15 @@
 	private static EntryMessage.Submit decodeSubmit(Protocol.Submit submit) {
 		Optional<OnceKey> key = submit.hasOnceKey() ? Optional.of(decode(submit.getOnceKey())) : Optional.empty();
 		try {
-			Work work = new Work(submit.getRequestId(), constant(WorkKind.values(), submit.getKind()),
+			Work work = new Work(submit.getRequestId(), enumConstant(WorkKind.values(), submit.getKind()),
 					submit.getAccount(), submit.getModel(), submit.getMethod(), submit.getPath(),
 					submit.getBody().toByteArray(), submit.getPriority(), submit.getRepeatable(), key,
-					submit.getPromptTokens(), submit.getMaxTokens(), natural(submit.getPatienceMillis()));
-			return new EntryMessage.Submit(decode(submit.getStream()), work, natural(submit.getCreditLimit()));
+					submit.getPromptTokens(), submit.getMaxTokens(), requireNonNegative(submit.getPatienceMillis()));
+			return new EntryMessage.Submit(decode(submit.getStream()), work,
+					requireNonNegative(submit.getCreditLimit()));
 		}
 		catch (IllegalArgumentException ex) {
-			throw new InvalidFrameException("the request is void: " + ex.getMessage(), ex);
+			throw new InvalidFrameException("the request is invalid: " + ex.getMessage(), ex);
 		}
 	}
 
@@ -316,16 +323,16 @@
 	}
 
 	private static SidecarMessage.Refused decodeRefused(Protocol.Refused refused) {
-		long retryAfter = natural(refused.getRetryAfterPlusOne());
+		long retryAfter = requireNonNegative(refused.getRetryAfterPlusOne());
 		RefusalReason reason;
 		try {
 			reason = RefusalReason.valueOf(refused.getReason());
 		}
 		catch (IllegalArgumentException ex) {
-			// A newer peer may know more reasons.
+			// A newer peer may send reasons that this version does not define.
 			reason = RefusalReason.TARGET_REFUSED;
 		}
-		Refusal refusal = new Refusal(constant(Verdict.values(), refused.getVerdict()), reason, refused.getDetail(),
+		Refusal refusal = new Refusal(enumConstant(Verdict.values(), refused.getVerdict()), reason, refused.getDetail(),
 				(retryAfter != 0) ? Optional.of(Duration.ofMillis(retryAfter - 1)) : Optional.empty());
 		return new SidecarMessage.Refused(decode(refused.getStream()), refusal);
 	}
@@ -341,8 +348,8 @@
 	}
 
 	private static LoadReport decodeLoad(Protocol.Load load) {
-		return new LoadReport(load.getRunning(), load.getQueued(), natural(load.getUsedTokens()),
-				natural(load.getCapacityTokens()), load.getLeaving());
+		return new LoadReport(load.getRunning(), load.getQueued(), requireNonNegative(load.getUsedTokens()),
+				requireNonNegative(load.getCapacityTokens()), load.getLeaving());
 	}
 
 	private static Protocol.Stream encode(StreamId stream) {
@@ -363,21 +370,21 @@
 
 	private static OnceKey decode(Protocol.OnceKey key) {
 		if (key.getKey().isEmpty()) {
-			throw new InvalidFrameException("a key must not be empty");
+			throw new InvalidFrameException("the idempotency key must not be empty");
 		}
 		return new OnceKey(key.getAccount(), key.getKey(), key.getTicketIncarnation());
 	}
 
-	private static long natural(long value) {
+	private static long requireNonNegative(long value) {
 		if (value < 0) {
-			throw new InvalidFrameException("a number is too large: " + Long.toUnsignedString(value));
+			throw new InvalidFrameException("number out of range: " + Long.toUnsignedString(value));
 		}
 		return value;
 	}
 
-	private static <E> E constant(E[] values, int index) {
+	private static <E> E enumConstant(E[] values, int index) {
 		if (index < 0 || index >= values.length) {
-			throw new InvalidFrameException("a code is unknown: " + index);
+			throw new InvalidFrameException("unknown enum code: " + index);
 		}
 		return values[index];
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/InvalidFrameException.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/InvalidFrameException.java
@@ -1,15 +1,15 @@
 package dev.laneworks.wire;
 
 /**
- * Thrown when a frame is not what the protocol allows; its link is closed.
+ * Thrown when a frame violates the protocol; the link that received it is closed.
  *
  * @since 0.1
  */
 public class InvalidFrameException extends RuntimeException {
 
 	/**
-	 * Create an exception.
-	 * @param problem what is wrong with the frame
+	 * Create an exception with a message.
+	 * @param problem the violation of the protocol
 	 */
 	public InvalidFrameException(String problem) {
 		super(problem);
@@ -17,8 +17,8 @@
 
 	/**
 	 * Create an exception with a cause.
-	 * @param problem what is wrong with the frame
-	 * @param cause why
+	 * @param problem the violation of the protocol
+	 * @param cause the exception that the decoder threw
 	 */
 	public InvalidFrameException(String problem, Throwable cause) {
 		super(problem, cause);
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/Link.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/Link.java
@@ -7,9 +7,9 @@
 import io.netty.channel.Channel;
 
 /**
- * A connection to a peer that has said who it is.
+ * Connection to a peer that has identified itself.
  * <p>
- * May be used from any thread. A message sent on a link that is down is dropped.
+ * Thread-safe. A message sent on a link that is down is dropped without an error.
  *
  * @since 0.1
  */
@@ -28,32 +28,32 @@
 	}
 
 	/**
-	 * Return the link's number, never used again by this process.
-	 * @return the number
+	 * Return the number that identifies the link.
+	 * @return a number that is unique within this process
 	 */
 	public long number() {
 		return this.number;
 	}
 
 	/**
-	 * Return who the peer says it is.
-	 * @return the identity
+	 * Return the identity that the peer announced in its first frame.
+	 * @return the name, data centre and incarnation of the peer
 	 */
 	public PeerIdentity peer() {
 		return this.peer;
 	}
 
 	/**
-	 * Send a message of an entry.
-	 * @param message the message
+	 * Send a message from an entry.
+	 * @param message the message; dropped if the link is down
 	 */
 	public void send(EntryMessage message) {
 		send(FrameCodec.encode(message));
 	}
 
 	/**
-	 * Send a message of a sidecar.
-	 * @param message the message
+	 * Send a message from a sidecar.
+	 * @param message the message; dropped if the link is down
 	 */
 	public void send(SidecarMessage message) {
 		send(FrameCodec.encode(message));
@@ -61,14 +61,14 @@
 
 	/**
 	 * Send a message about the configuration.
-	 * @param message the message
+	 * @param message the message; dropped if the link is down
 	 */
 	public void send(ConfigurationMessage message) {
 		send(FrameCodec.encode(message));
 	}
 
 	/**
-	 * Close the link.
+	 * Close the link asynchronously.
 	 */
 	public void close() {
 		this.channel.close();
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkException.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkException.java
@@ -1,16 +1,16 @@
 package dev.laneworks.wire;
 
 /**
- * Thrown when links can't be had at all.
+ * Thrown when a process cannot open the address on which it receives links or datagrams.
  *
  * @since 0.1
  */
 public class LinkException extends RuntimeException {
 
 	/**
-	 * Create an exception.
-	 * @param message what failed
-	 * @param cause why
+	 * Create an exception with a message and a cause.
+	 * @param message the address and the operation that failed
+	 * @param cause the exception of the network layer
 	 */
 	public LinkException(String message, Throwable cause) {
 		super(message, cause);
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkHandler.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkHandler.java
@@ -10,12 +10,12 @@
 import org.tinylog.Logger;
 
 /**
- * Serves one end of a link: says who this process is, hears who the peer is, then passes
- * frames on.
+ * Netty handler of one end of a link: exchanges Hello frames with the peer, then passes
+ * received frames to the {@link LinkListener}.
  */
 final class LinkHandler extends SimpleChannelInboundHandler<Protocol.Frame> {
 
-	private static final AtomicLong NUMBERS = new AtomicLong();
+	private static final AtomicLong LINK_NUMBERS = new AtomicLong();
 
 	private final PeerIdentity self;
 
@@ -40,7 +40,7 @@
 			return;
 		}
 		PeerIdentity peer = FrameCodec.decodeHello(frame);
-		this.link = new Link(NUMBERS.incrementAndGet(), peer, context.channel());
+		this.link = new Link(LINK_NUMBERS.incrementAndGet(), peer, context.channel());
 		this.listener.onUp(this.link);
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkInitializer.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkInitializer.java
@@ -14,7 +14,7 @@
 import io.netty.handler.timeout.IdleStateHandler;
 
 /**
- * Sets up the handlers of a link.
+ * Sets up the Netty pipeline of a link: framing, Protobuf and detection of silent peers.
  */
 final class LinkInitializer extends ChannelInitializer<SocketChannel> {
 
@@ -24,11 +24,11 @@
 
 	private final LinkSettings settings;
 
-	private final Supplier<LinkHandler> handlers;
+	private final Supplier<LinkHandler> handlerFactory;
 
-	LinkInitializer(LinkSettings settings, Supplier<LinkHandler> handlers) {
+	LinkInitializer(LinkSettings settings, Supplier<LinkHandler> handlerFactory) {
 		this.settings = settings;
-		this.handlers = handlers;
+		this.handlerFactory = handlerFactory;
 	}
 
 	@Override
@@ -40,7 +40,7 @@
 			.addLast(new ProtobufDecoder(Protocol.Frame.getDefaultInstance()))
 			.addLast(new LengthFieldPrepender(LENGTH_BYTES))
 			.addLast(new ProtobufEncoder())
-			.addLast(this.handlers.get());
+			.addLast(this.handlerFactory.get());
 	}
 
 }
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkListener.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkListener.java
@@ -3,30 +3,30 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Hears of a link.
+ * Callback for the events of links.
  * <p>
- * Called on the thread that serves the link, which must not be held up.
+ * Called on the thread that serves the link; implementations must not block.
  *
  * @since 0.1
  */
 public interface LinkListener {
 
 	/**
-	 * Hear that the peer has said who it is.
-	 * @param link the link
+	 * Handle a link whose peer has identified itself.
+	 * @param link the link, ready for sending
 	 */
 	void onUp(Link link);
 
 	/**
-	 * Hear of a frame.
-	 * @param link the link
-	 * @param frame the frame
+	 * Handle a received frame.
+	 * @param link the link that received the frame
+	 * @param frame the frame; the Hello that opens a link is not passed on
 	 */
 	void onFrame(Link link, Protocol.Frame frame);
 
 	/**
-	 * Hear that the link is down.
-	 * @param link the link
+	 * Handle the loss of a link; called only after {@link #onUp}.
+	 * @param link the link that was closed by either side
 	 */
 	void onDown(Link link);
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkServer.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkServer.java
@@ -9,7 +9,7 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 
 /**
- * Takes links from peers.
+ * TCP server that accepts links from peers.
  *
  * @since 0.1
  */
@@ -20,13 +20,13 @@
 	private final Channel channel;
 
 	/**
-	 * Open a server.
+	 * Create a server and start listening.
 	 * @param group the threads that serve the links
-	 * @param address where to listen
-	 * @param self who this process is
-	 * @param settings bounds and times
-	 * @param listener hears of every link
-	 * @throws LinkException if the address can't be listened on
+	 * @param address the local address to bind to
+	 * @param self the identity that this process announces
+	 * @param settings the limits and timeouts of the links
+	 * @param listener receives the events of every link
+	 * @throws LinkException if the address cannot be bound
 	 */
 	public LinkServer(EventLoopGroup group, InetSocketAddress address, PeerIdentity self, LinkSettings settings,
 			LinkListener listener) {
@@ -38,14 +38,14 @@
 			.childHandler(new LinkInitializer(settings, () -> new LinkHandler(self, listener)));
 		var bound = bootstrap.bind(address).awaitUninterruptibly();
 		if (!bound.isSuccess()) {
-			throw new LinkException("can't listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
+			throw new LinkException("cannot listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
 		}
 		this.channel = bound.channel();
 	}
 
 	/**
 	 * Return the port that the server listens on.
-	 * @return the port
+	 * @return the actual port, also if the server was bound to port 0
 	 */
 	public int port() {
 		return ((InetSocketAddress) this.channel.localAddress()).getPort();
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkSettings.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkSettings.java
@@ -3,15 +3,16 @@
 import java.time.Duration;
 
 /**
- * The bounds and times of links.
+ * Limits and timeouts of links.
  *
  * @param maxFrameBytes the largest frame accepted, in bytes
- * @param silence how long a peer may send nothing before its link is closed
- * @param probeGap how long a link may be silent before its peer is probed
- * @param connectTimeout how long a connection may take
- * @param reconnectFirst the wait before the first new try
- * @param reconnectMax the greatest wait before a new try
- * @param idle how long a link that is not in steady use is kept
+ * @param silence the time without received data after which a link is closed
+ * @param probeGap the time without received data after which the peer is probed; shorter
+ * than {@code silence}
+ * @param connectTimeout the timeout for establishing a connection
+ * @param reconnectFirst the delay before the first reconnection attempt
+ * @param reconnectMax the longest delay before a reconnection attempt
+ * @param idle the time after which an unused link that is not persistent is closed
  * @since 0.1
  */
 public record LinkSettings(int maxFrameBytes, Duration silence, Duration probeGap, Duration connectTimeout,
@@ -28,8 +29,8 @@
 	}
 
 	/**
-	 * Return settings that suit links within a region.
-	 * @return the settings
+	 * Return the default settings, which suit links within one region.
+	 * @return the default limits and timeouts
 	 */
 	public static LinkSettings defaults() {
 		return new LinkSettings(8 << 20, Duration.ofSeconds(7), Duration.ofSeconds(4), Duration.ofSeconds(1),
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
@@ -9,43 +9,45 @@
 import dev.laneworks.core.poison.SuspectReport;
 
 /**
- * Hears what other entries tell, on the socket's own thread.
+ * Callback for messages from other entries.
+ * <p>
+ * Called on the thread of the {@link NewsSocket}; implementations must not block.
  *
  * @since 0.2
  */
 public interface NewsListener {
 
 	/**
-	 * Hear of an entry's work.
+	 * Handle an entry's load update.
 	 * @param from the sender's address, {@code IP:PORT}
-	 * @param news the news
+	 * @param update the update; may be older than one received before
 	 */
-	void work(String from, EntryNews news);
+	void work(String from, EntryNews update);
 
 	/**
-	 * Hear what an entry read of the platform's store, or what it asks.
+	 * Handle an update of the platform's store, or a request for missed changes.
 	 * @param from the sender's address, {@code IP:PORT}
-	 * @param news the news
+	 * @param update the update or request
 	 */
-	void store(String from, StoreNews news);
+	void store(String from, StoreNews update);
 
 	/**
-	 * Hear a question for the store's state.
+	 * Handle a request for a snapshot of the store.
 	 * @param from the sender's address, {@code IP:PORT}
-	 * @param question the question
+	 * @param request the request, with the first chunk that is missing
 	 */
-	void question(String from, StateQuestion question);
+	void question(String from, StateQuestion request);
 
 	/**
-	 * Hear a piece of the store's state.
+	 * Handle one chunk of a snapshot of the store.
 	 * @param from the sender's address, {@code IP:PORT}
-	 * @param piece the piece
+	 * @param chunk the chunk; chunks may arrive in any order
 	 */
-	void piece(String from, StatePiece piece);
+	void piece(String from, StatePiece chunk);
 
 	/**
-	 * Hear of requests under which targets ended.
-	 * @param reports the sender's word
+	 * Handle reports of requests during which targets crashed.
+	 * @param reports the sender's reports, one per request
 	 */
 	void suspects(List<SuspectReport> reports);
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
@@ -27,18 +27,21 @@
 import org.tinylog.Logger;
 
 /**
- * Sends and hears the news of entries, one datagram each.
+ * UDP socket by which entries exchange gossip, store updates and snapshots.
  * <p>
- * Datagrams may be lost or come late; the news are made for that.
+ * Every message is one datagram. Datagrams may be lost, delayed or reordered; senders and
+ * receivers tolerate this. Thread-safe.
  *
  * @since 0.2
  */
 public final class NewsSocket {
 
-	/** In bytes; more than the news of an entry with work at a few hundred targets. */
+	/**
+	 * Leaves room for the load update of an entry with requests at hundreds of targets.
+	 */
 	private static final int MAX_DATAGRAM_BYTES = 32 * 1024;
 
-	/** An entry of the list of targets has a few hundred characters, a plan thousands. */
+	/** Separates serving plans from the much smaller items of the target list. */
 	private static final int LARGE_CHANGE_CHARACTERS = 2_000;
 
 	private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -46,10 +49,10 @@
 	private final Channel channel;
 
 	/**
-	 * Open the socket.
-	 * @param address where news are heard
-	 * @param listener takes the news, on the socket's own thread
-	 * @throws LinkException if the address can't be used
+	 * Create a socket and start receiving.
+	 * @param address the local address to bind to
+	 * @param listener receives the messages, on the thread of the socket
+	 * @throws LinkException if the address cannot be bound
 	 */
 	public NewsSocket(InetSocketAddress address, NewsListener listener) {
 		Bootstrap bootstrap = new Bootstrap().group(this.group)
@@ -59,72 +62,73 @@
 		ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
 		if (!bound.isSuccess()) {
 			this.group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-			throw new LinkException("news can't be heard at " + address, bound.cause());
+			throw new LinkException("cannot receive datagrams at " + address, bound.cause());
 		}
 		this.channel = bound.channel();
 	}
 
 	/**
-	 * Send news of the own work; those too large for a datagram are dropped.
+	 * Send a load update of this entry.
 	 * @param address the receiver's address
-	 * @param news the news
+	 * @param update the update; dropped with a warning if it exceeds a datagram
 	 */
-	public void send(InetSocketAddress address, EntryNews news) {
-		byte[] datagram = EntryDatagrams.of(news);
+	public void send(InetSocketAddress address, EntryNews update) {
+		byte[] datagram = EntryDatagramCodec.encode(update);
 		if (datagram.length > MAX_DATAGRAM_BYTES) {
-			Logger.warn("news of {} bytes are too large to be sent", datagram.length);
+			Logger.warn("dropped a load update of {} bytes, which exceeds a datagram", datagram.length);
 			return;
 		}
 		write(address, datagram);
 	}
 
 	/**
-	 * Send what was read of the platform's store.
+	 * Send an update of the platform's store.
 	 * <p>
-	 * Where the changes are too large for a datagram the large ones are left out, and
-	 * where that is not enough all; the receiver then reads them itself.
+	 * If the changes exceed a datagram, the large ones are left out, and if that is not
+	 * enough, all of them. The receiver then reads them from the store.
 	 * @param addresses the receivers' addresses
-	 * @param news the news
+	 * @param update the update or request
 	 */
-	public void send(List<InetSocketAddress> addresses, StoreNews news) {
-		// What is too large in any case is not encoded first; that takes time as well.
-		StoreNews small = (news.characters() <= MAX_DATAGRAM_BYTES) ? news
-				: news.withoutLargeChanges(LARGE_CHANGE_CHARACTERS);
-		byte[] whole = EntryDatagrams.of(small);
-		byte[] datagram = (whole.length <= MAX_DATAGRAM_BYTES) ? whole : EntryDatagrams.of(news.withoutChanges());
+	public void send(List<InetSocketAddress> addresses, StoreNews update) {
+		// Avoids encoding an update that is certainly too large.
+		StoreNews reduced = (update.characters() <= MAX_DATAGRAM_BYTES) ? update
+				: update.withoutLargeChanges(LARGE_CHANGE_CHARACTERS);
+		byte[] encoded = EntryDatagramCodec.encode(reduced);
+		byte[] datagram = (encoded.length <= MAX_DATAGRAM_BYTES) ? encoded
+				: EntryDatagramCodec.encode(update.withoutChanges());
 		addresses.forEach((a) -> write(a, datagram));
 	}
 
 	/**
-	 * Send a question for the store's state.
+	 * Send a request for a snapshot of the store.
 	 * @param address the receiver's address
-	 * @param question the question
+	 * @param request the request, with the first chunk that is missing
 	 */
-	public void send(InetSocketAddress address, StateQuestion question) {
-		write(address, EntryDatagrams.of(question));
+	public void send(InetSocketAddress address, StateQuestion request) {
+		write(address, EntryDatagramCodec.encode(request));
 	}
 
 	/**
-	 * Send a piece of the store's state.
+	 * Send one chunk of a snapshot of the store.
 	 * @param address the receiver's address
-	 * @param piece the piece
+	 * @param chunk the chunk, small enough for a datagram
 	 */
-	public void send(InetSocketAddress address, StatePiece piece) {
-		write(address, EntryDatagrams.of(piece));
+	public void send(InetSocketAddress address, StatePiece chunk) {
+		write(address, EntryDatagramCodec.encode(chunk));
 	}
 
 	/**
-	 * Send reports of requests under which targets ended.
+	 * Send reports of requests during which targets crashed.
 	 * @param addresses the receivers' addresses
-	 * @param reports the reports, as many as a datagram bears
+	 * @param reports the reports, few enough for a datagram
 	 */
 	public void sendSuspects(Collection<InetSocketAddress> addresses, List<SuspectReport> reports) {
-		byte[] datagram = EntryDatagrams.of(reports);
+		byte[] datagram = EntryDatagramCodec.encode(reports);
 		addresses.forEach((a) -> write(a, datagram));
 	}
 
 	/**
-	 * Close the socket.
+	 * Close the socket and shut down its thread.
 	 */
 	public void close() {
 		this.channel.close();
@@ -136,7 +140,7 @@
 	}
 
 	/**
-	 * Reads datagrams and passes them to the listener.
+	 * Decodes received datagrams and passes them to the listener.
 	 */
 	private static final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
 
@@ -150,10 +154,10 @@
 		protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
 			InetSocketAddress sender = packet.sender();
 			String from = sender.getAddress().getHostAddress() + ':' + sender.getPort();
-			EntryDatagrams.read(ByteBufUtil.getBytes(packet.content())).ifPresent((d) -> pass(from, d));
+			EntryDatagramCodec.decode(ByteBufUtil.getBytes(packet.content())).ifPresent((d) -> dispatch(from, d));
 		}
 
-		private void pass(String from, Protocol.EntryDatagram datagram) {
+		private void dispatch(String from, Protocol.EntryDatagram datagram) {
 			try {
 				switch (datagram.getKindCase()) {
 					case WORK -> this.listener.work(from, EntryNewsCodec.decode(datagram.getWork()));
@@ -161,19 +165,19 @@
 					case QUESTION -> this.listener.question(from, StateCodec.decode(datagram.getQuestion()));
 					case PIECE -> this.listener.piece(from, StateCodec.decode(datagram.getPiece()));
 					case SUSPECTS -> this.listener.suspects(SuspectCodec.decode(datagram.getSuspects()));
-					case KIND_NOT_SET -> Logger.info("an empty datagram from {} is passed over", from);
+					case KIND_NOT_SET -> Logger.info("ignored an empty datagram from {}", from);
 				}
 			}
 			catch (IllegalArgumentException ex) {
-				Logger.info("a datagram from {} is passed over: {}", from, ex.getMessage());
+				Logger.info("ignored an invalid datagram from {}: {}", from, ex.getMessage());
 			}
 		}
 
-		// A closed port at the other end is told as an error; the peer is missed by its
-		// silence.
+		// The operating system reports a closed port at the receiver as an error. Failed
+		// peers are detected by missing heartbeats instead.
 		@Override
 		public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-			Logger.debug("datagram: {}", cause.getMessage());
+			Logger.debug("datagram socket error: {}", cause.getMessage());
 		}
 
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/PeerIdentity.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/PeerIdentity.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Who a process says it is when a link comes up.
+ * Identity that a process announces in the first frame of a link.
  *
  * @param name the name of the entry, or of the sidecar's target
- * @param dataCentre its data centre
- * @param incarnation different for each process
+ * @param dataCentre the data centre that the process runs in
+ * @param incarnation a number that differs for each start of the process
  * @since 0.1
  */
 public record PeerIdentity(String name, String dataCentre, long incarnation) {
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StateCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StateCodec.java
@@ -6,39 +6,39 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Turns questions for a state and its pieces into their form on the wire and back.
+ * Encodes requests for a snapshot and its chunks for the wire and decodes them.
+ * <p>
+ * Decoding throws an {@link IllegalArgumentException} if a number is out of range.
  */
 final class StateCodec {
 
 	private StateCodec() {
 	}
 
-	static Protocol.StateQuestion encode(StateQuestion question) {
+	static Protocol.StateQuestion encode(StateQuestion request) {
 		return Protocol.StateQuestion.newBuilder()
-			.setRevision(question.revision())
-			.setFirstPiece(question.firstPiece())
+			.setRevision(request.revision())
+			.setFirstPiece(request.firstPiece())
 			.build();
 	}
 
-	// Throws an IllegalArgumentException where the sender made up numbers.
-	static StateQuestion decode(Protocol.StateQuestion question) {
-		return new StateQuestion(question.getRevision(), question.getFirstPiece());
+	static StateQuestion decode(Protocol.StateQuestion request) {
+		return new StateQuestion(request.getRevision(), request.getFirstPiece());
 	}
 
-	static Protocol.StatePiece encode(StatePiece piece) {
+	static Protocol.StatePiece encode(StatePiece chunk) {
 		return Protocol.StatePiece.newBuilder()
-			.setRevision(piece.revision())
-			.setAgeMillis(piece.ageMillis())
-			.setNumber(piece.number())
-			.setCount(piece.count())
-			.setData(ByteString.copyFrom(piece.data()))
+			.setRevision(chunk.revision())
+			.setAgeMillis(chunk.ageMillis())
+			.setNumber(chunk.number())
+			.setCount(chunk.count())
+			.setData(ByteString.copyFrom(chunk.data()))
 			.build();
 	}
 
-	// Throws an IllegalArgumentException where the sender made up numbers.
-	static StatePiece decode(Protocol.StatePiece piece) {
-		return new StatePiece(piece.getRevision(), piece.getAgeMillis(), piece.getNumber(), piece.getCount(),
-				piece.getData().toByteArray());
+	static StatePiece decode(Protocol.StatePiece chunk) {
+		return new StatePiece(chunk.getRevision(), chunk.getAgeMillis(), chunk.getNumber(), chunk.getCount(),
+				chunk.getData().toByteArray());
 	}
 
 }
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StoreItemsForm.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StoreItemsForm.java
@@ -10,7 +10,7 @@
 import org.tinylog.Logger;
 
 /**
- * Items of a store as protobuf.
+ * Protobuf encoding of the items of a store snapshot.
  *
  * @since 0.2
  */
@@ -33,7 +33,7 @@
 				.toList());
 		}
 		catch (InvalidProtocolBufferException ex) {
-			Logger.info("a state from another entry can't be read: {}", ex.getMessage());
+			Logger.info("ignored a malformed snapshot from another entry: {}", ex.getMessage());
 			return Optional.empty();
 		}
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StoreNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StoreNewsCodec.java
@@ -9,29 +9,29 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Turns what an entry read of the platform's store into its form on the wire and back.
+ * Encodes updates of the platform's store for the wire and decodes them.
  */
 final class StoreNewsCodec {
 
 	private StoreNewsCodec() {
 	}
 
-	static Protocol.StoreNews encode(StoreNews news) {
+	static Protocol.StoreNews encode(StoreNews update) {
 		Protocol.StoreNews.Builder builder = Protocol.StoreNews.newBuilder()
-			.setReader(news.reader())
-			.setGroup(news.group())
-			.setReturning(news.returning())
-			.setFrom(news.from())
-			.setTo(news.to())
-			.setKind(encode(news.kind()));
-		news.changes().forEach((c) -> builder.addChanges(encode(c)));
+			.setReader(update.reader())
+			.setGroup(update.group())
+			.setReturning(update.returning())
+			.setFrom(update.from())
+			.setTo(update.to())
+			.setKind(encode(update.kind()));
+		update.changes().forEach((c) -> builder.addChanges(encode(c)));
 		return builder.build();
 	}
 
-	static StoreNews decode(Protocol.StoreNews news) {
-		List<StoreChange> changes = news.getChangesList().stream().map(StoreNewsCodec::decode).toList();
-		return new StoreNews(news.getReader(), news.getGroup(), news.getFrom(), news.getTo(), changes,
-				news.getReturning(), decode(news.getKind()));
+	static StoreNews decode(Protocol.StoreNews update) {
+		List<StoreChange> changes = update.getChangesList().stream().map(StoreNewsCodec::decode).toList();
+		return new StoreNews(update.getReader(), update.getGroup(), update.getFrom(), update.getTo(), changes,
+				update.getReturning(), decode(update.getKind()));
 	}
 
 	private static Protocol.StoreNewsKind encode(StoreNews.Kind kind) {
@@ -47,7 +47,7 @@
 			case STORE_NEWS_READ -> StoreNews.Kind.READ;
 			case STORE_NEWS_QUESTION -> StoreNews.Kind.QUESTION;
 			case STORE_NEWS_PASSED_ON -> StoreNews.Kind.PASSED_ON;
-			case UNRECOGNIZED -> throw new IllegalArgumentException("news of an unknown kind");
+			case UNRECOGNIZED -> throw new IllegalArgumentException("unknown kind of store update");
 		};
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
@@ -9,8 +9,7 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Turns reports of requests under which targets ended into their form on the wire and
- * back.
+ * Encodes reports of requests during which targets crashed for the wire and decodes them.
  */
 final class SuspectCodec {
 
@@ -24,13 +23,13 @@
 	}
 
 	/**
-	 * Read reports.
-	 * @param news their form on the wire
-	 * @return the reports
-	 * @throws IllegalArgumentException if an age is below zero
+	 * Decode the reports of a datagram.
+	 * @param encoded the encoded reports
+	 * @return the reports in the order of the datagram
+	 * @throws IllegalArgumentException if an age is negative
 	 */
-	static List<SuspectReport> decode(Protocol.SuspectNews news) {
-		return news.getReportsList().stream().map(SuspectCodec::decode).toList();
+	static List<SuspectReport> decode(Protocol.SuspectNews encoded) {
+		return encoded.getReportsList().stream().map(SuspectCodec::decode).toList();
 	}
 
 	private static Protocol.SuspectReport encode(SuspectReport report) {
@@ -41,7 +40,7 @@
 			.setLow(digest.low());
 		report.ends()
 			.forEach((e) -> builder.addEnds(Protocol.EndedRun.newBuilder()
-				.setTarget(TargetRunForm.write(e.run()))
+				.setTarget(TargetIncarnationFormat.format(e.run()))
 				.setAgeMillis(e.ageMillis())));
 		report.soundAgeMillis().ifPresent(builder::setSoundAgeMillis);
 		return builder.build();
@@ -51,7 +50,7 @@
 		RequestDigest digest = new RequestDigest(report.getCaller(), report.getHigh(), report.getLow());
 		List<EndedRun> ends = report.getEndsList()
 			.stream()
-			.map((e) -> new EndedRun(TargetRunForm.read(e.getTarget()), e.getAgeMillis()))
+			.map((e) -> new EndedRun(TargetIncarnationFormat.parse(e.getTarget()), e.getAgeMillis()))
 			.toList();
 		OptionalLong soundAge = report.hasSoundAgeMillis() ? OptionalLong.of(report.getSoundAgeMillis())
 				: OptionalLong.empty();
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/TargetLinks.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/TargetLinks.java
@@ -19,22 +19,21 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps links to the sidecars of targets.
+ * Manages the links from this process to the sidecars of targets.
  * <p>
- * Links in steady use are brought up again whenever they go down; others are brought up
- * when asked for and closed when idle. A silent link is probed. The peer must say that it
- * stands beside the target that was asked for, since addresses are given to new
- * instances. All state is confined to one event loop; the methods may be called from any
- * thread.
+ * Persistent links are reconnected whenever they go down; others are connected on demand
+ * and closed when idle. A silent peer is probed. A link is closed if its peer identifies
+ * itself as the sidecar of another target, since addresses are reused for new instances.
+ * All state is confined to one event loop; the methods may be called from any thread.
  *
  * @since 0.1
  */
 public final class TargetLinks implements AutoCloseable {
 
-	/** Begins the names of links whose peer is known by address alone. */
+	/** Prefix of the names of links whose peer is known by address only. */
 	public static final String SEED_PREFIX = "seed:";
 
-	private static final long HOUSEKEEPING_MILLIS = 500;
+	private static final long MAINTENANCE_INTERVAL_MILLIS = 500;
 
 	private final EventLoop loop;
 
@@ -50,17 +49,17 @@
 
 	private Map<String, InetSocketAddress> addresses = Map.of();
 
-	private Set<String> steady = Set.of();
+	private Set<String> persistent = Set.of();
 
 	private boolean closed;
 
 	/**
-	 * Create a keeper without links.
-	 * @param loop the thread that serves all links
-	 * @param self who this process is
-	 * @param settings bounds and times
-	 * @param random spreads new tries over time
-	 * @param listener hears of every link
+	 * Create a manager without links.
+	 * @param loop the event loop that serves all links
+	 * @param self the identity that this process announces
+	 * @param settings the limits and timeouts of the links
+	 * @param random the source of jitter for reconnection delays
+	 * @param listener receives the events of every link
 	 */
 	public TargetLinks(EventLoop loop, PeerIdentity self, LinkSettings settings, RandomGenerator random,
 			TargetLinkListener listener) {
@@ -69,36 +68,37 @@
 		this.settings = settings;
 		this.listener = listener;
 		this.backoff = new Backoff(settings.reconnectFirst(), settings.reconnectMax(), random);
-		loop.scheduleWithFixedDelay(this::keepHouse, HOUSEKEEPING_MILLIS, HOUSEKEEPING_MILLIS, TimeUnit.MILLISECONDS);
+		loop.scheduleWithFixedDelay(this::maintainLinks, MAINTENANCE_INTERVAL_MILLIS, MAINTENANCE_INTERVAL_MILLIS,
+				TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * Use addresses from now on.
-	 * @param newAddresses where the sidecar of each target listens
-	 * @param newSteady the targets whose links are in steady use
+	 * Replace the addresses of the targets and connect the persistent links.
+	 * @param newAddresses the address of each target's sidecar, by the target's name
+	 * @param newPersistent the names of the targets whose links are persistent
 	 */
-	public void use(Map<String, InetSocketAddress> newAddresses, Set<String> newSteady) {
+	public void use(Map<String, InetSocketAddress> newAddresses, Set<String> newPersistent) {
 		Map<String, InetSocketAddress> addressCopy = Map.copyOf(newAddresses);
-		Set<String> steadyCopy = Set.copyOf(newSteady);
+		Set<String> persistentCopy = Set.copyOf(newPersistent);
 		this.loop.execute(() -> {
 			this.addresses = addressCopy;
-			this.steady = steadyCopy;
-			this.steady.forEach((t) -> link(t).wish());
+			this.persistent = persistentCopy;
+			this.persistent.forEach((t) -> link(t).request());
 		});
 	}
 
 	/**
-	 * Bring up a link if it is not up.
+	 * Connect to a target unless its link is up or a reconnection delay is in progress.
 	 * @param target the target's name
 	 */
 	public void connect(String target) {
-		this.loop.execute(() -> link(target).wish());
+		this.loop.execute(() -> link(target).request());
 	}
 
 	/**
-	 * Send a message; dropped if the link is down.
+	 * Send a message to a target.
 	 * @param target the target's name
-	 * @param message the message
+	 * @param message the message; dropped if the link is down
 	 */
 	public void send(String target, EntryMessage message) {
 		Protocol.Frame frame = FrameCodec.encode(message);
@@ -107,7 +107,7 @@
 
 	/**
 	 * Send a message about the configuration on every link that is up.
-	 * @param message the message
+	 * @param message the message to send
 	 */
 	public void broadcast(ConfigurationMessage message) {
 		this.loop.execute(() -> this.links.values().forEach((l) -> l.send(FrameCodec.encode(message))));
@@ -117,7 +117,7 @@
 	public void close() {
 		this.loop.execute(() -> {
 			this.closed = true;
-			this.links.values().forEach(TargetLink::shut);
+			this.links.values().forEach(TargetLink::closeLink);
 		});
 	}
 
@@ -125,12 +125,12 @@
 		return this.links.computeIfAbsent(target, TargetLink::new);
 	}
 
-	private void keepHouse() {
+	private void maintainLinks() {
 		if (this.closed) {
 			return;
 		}
 		long now = nowMillis();
-		this.links.values().removeIf((l) -> l.keep(now));
+		this.links.values().removeIf((l) -> l.maintain(now));
 	}
 
 	private static long nowMillis() {
@@ -138,7 +138,7 @@
 	}
 
 	/**
-	 * The link to one target, up or not.
+	 * Connection state of one target.
 	 */
 	private final class TargetLink implements LinkListener {
 
@@ -148,50 +148,50 @@
 
 		private boolean connecting;
 
-		private boolean greeted;
+		private boolean helloReceived;
 
 		private int failures;
 
-		private long nextTryAt;
+		private long nextAttemptAt;
 
-		private long wishedAt;
+		private long lastUsedAt;
 
-		private long heardAt;
+		private long lastReceivedAt;
 
-		private long probedAt;
+		private long lastProbedAt;
 
 		TargetLink(String target) {
 			this.target = target;
-			this.nextTryAt = nowMillis();
+			this.nextAttemptAt = nowMillis();
 		}
 
-		void wish() {
-			this.wishedAt = nowMillis();
-			if (this.wishedAt >= this.nextTryAt) {
+		void request() {
+			this.lastUsedAt = nowMillis();
+			if (this.lastUsedAt >= this.nextAttemptAt) {
 				tryConnect();
 			}
 		}
 
 		void send(Protocol.Frame frame) {
-			this.wishedAt = nowMillis();
+			this.lastUsedAt = nowMillis();
 			if (this.link != null) {
 				this.link.send(frame);
 			}
 		}
 
-		void shut() {
+		void closeLink() {
 			if (this.link != null) {
 				this.link.close();
 			}
 		}
 
-		// Returns whether the link is to be forgotten.
-		boolean keep(long now) {
-			boolean isSteady = TargetLinks.this.steady.contains(this.target);
-			boolean isIdle = now - this.wishedAt > TargetLinks.this.settings.idle().toMillis();
+		// Returns whether the link is unused and can be removed.
+		boolean maintain(long now) {
+			boolean isPersistent = TargetLinks.this.persistent.contains(this.target);
+			boolean isIdle = now - this.lastUsedAt > TargetLinks.this.settings.idle().toMillis();
 			if (this.link != null) {
 				probe(now);
-				if (!isSteady && isIdle) {
+				if (!isPersistent && isIdle) {
 					this.link.close();
 				}
 				return false;
@@ -199,16 +199,16 @@
 			if (this.connecting) {
 				return false;
 			}
-			boolean isWished = now - this.wishedAt < TargetLinks.this.settings.silence().toMillis();
-			if ((isSteady || isWished) && now >= this.nextTryAt) {
+			boolean isRecentlyUsed = now - this.lastUsedAt < TargetLinks.this.settings.silence().toMillis();
+			if ((isPersistent || isRecentlyUsed) && now >= this.nextAttemptAt) {
 				tryConnect();
 			}
-			return !isSteady && isIdle;
+			return !isPersistent && isIdle;
 		}
 
 		@Override
 		public void onUp(Link newLink) {
-			this.greeted = true;
+			this.helloReceived = true;
 			if (!this.target.startsWith(SEED_PREFIX) && !newLink.peer().name().equals(this.target)) {
 				Logger.warn("link refused: target={} cause=the address belongs to {}", this.target,
 						newLink.peer().name());
@@ -218,7 +218,7 @@
 			this.connecting = false;
 			this.link = newLink;
 			this.failures = 0;
-			this.heardAt = nowMillis();
+			this.lastReceivedAt = nowMillis();
 			TargetLinks.this.listener.onUp(this.target, newLink);
 		}
 
@@ -227,23 +227,23 @@
 			if (from != this.link) {
 				return;
 			}
-			this.heardAt = nowMillis();
+			this.lastReceivedAt = nowMillis();
 			TargetLinks.this.listener.onFrame(this.target, from, frame);
 		}
 
 		@Override
 		public void onDown(Link downLink) {
-			// A link that was refused has no other way to end its try.
+			// A link that onUp rejected was never assigned; its attempt ends here.
 			if (downLink == this.link || this.link == null) {
 				this.link = null;
-				failed();
+				handleFailure();
 			}
 		}
 
 		private void probe(long now) {
-			long gap = TargetLinks.this.settings.probeGap().toMillis();
-			if (now - this.heardAt >= gap && now - this.probedAt >= gap) {
-				this.probedAt = now;
+			long interval = TargetLinks.this.settings.probeGap().toMillis();
+			if (now - this.lastReceivedAt >= interval && now - this.lastProbedAt >= interval) {
+				this.lastProbedAt = now;
 				this.link.send(new EntryMessage.Probe());
 			}
 		}
@@ -254,11 +254,11 @@
 			}
 			InetSocketAddress address = TargetLinks.this.addresses.get(this.target);
 			if (address == null) {
-				failed();
+				handleFailure();
 				return;
 			}
 			this.connecting = true;
-			this.greeted = false;
+			this.helloReceived = false;
 			Bootstrap bootstrap = new Bootstrap().group(TargetLinks.this.loop)
 				.channel(NioSocketChannel.class)
 				.option(ChannelOption.TCP_NODELAY, true)
@@ -266,26 +266,26 @@
 						(int) TargetLinks.this.settings.connectTimeout().toMillis())
 				.handler(new LinkInitializer(TargetLinks.this.settings,
 						() -> new LinkHandler(TargetLinks.this.self, this)));
-			bootstrap.connect(address).addListener((ChannelFuture f) -> connected(f));
+			bootstrap.connect(address).addListener((ChannelFuture f) -> handleConnectResult(f));
 		}
 
-		private void connected(ChannelFuture future) {
+		private void handleConnectResult(ChannelFuture future) {
 			if (!future.isSuccess()) {
-				failed();
+				handleFailure();
 				return;
 			}
-			// A peer that never says who it is ends the try when the connection closes.
+			// The attempt also fails if the connection closes before the peer's Hello.
 			future.channel().closeFuture().addListener((f) -> {
-				if (!this.greeted) {
-					failed();
+				if (!this.helloReceived) {
+					handleFailure();
 				}
 			});
 		}
 
-		private void failed() {
+		private void handleFailure() {
 			this.connecting = false;
 			this.failures++;
-			this.nextTryAt = nowMillis() + TargetLinks.this.backoff.delayMillis(this.failures);
+			this.nextAttemptAt = nowMillis() + TargetLinks.this.backoff.delayMillis(this.failures);
 			TargetLinks.this.listener.onDown(this.target);
 		}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/package-info.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Links between laneworks processes over TCP.
+ * Wire protocol between laneworks processes: links over TCP and datagrams over UDP.
  */
 package dev.laneworks.wire;
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
@@ -14,22 +14,23 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests the form of an entry's news on the wire.
+ * Tests for {@link EntryNewsCodec}.
  */
 class EntryNewsCodecTests {
 
 	@Test
-	void newsComeBackAsTheyWere() {
-		TargetRun run = TargetRun.of("t", 1_700_000_000_000L);
-		EntryNews news = new EntryNews("e", "z", 7, 3, true, true, 1_000,
-				List.of(new WorkAtTarget(run, 1, 2, 3, 4, true, 5, true)), List.of(new ServiceSpending("s", 6, 7)),
+	void decodesWhatWasEncoded() {
+		TargetRun incarnation = TargetRun.of("t", 1_700_000_000_000L);
+		EntryNews update = new EntryNews("e", "z", 7, 3, true, true, 1_000,
+				List.of(new WorkAtTarget(incarnation, 1, 2, 3, 4, true, 5, true)),
+				List.of(new ServiceSpending("s", 6, 7)),
 				new NeedsNews(
-						List.of(new LimitNews(run, OptionalDouble.of(2.7), 40),
+						List.of(new LimitNews(incarnation, OptionalDouble.of(2.7), 40),
 								new LimitNews(TargetRun.of("u"), OptionalDouble.empty(), 0),
 								new LimitNews(TargetRun.of("v"), OptionalDouble.of(0), 5)),
-						List.of(run, TargetRun.of("w"))),
+						List.of(incarnation, TargetRun.of("w"))),
 				List.of("10.0.0.1:7200"));
-		assertThat(EntryNewsCodec.decode(EntryNewsCodec.encode(news))).isEqualTo(news);
+		assertThat(EntryNewsCodec.decode(EntryNewsCodec.encode(update))).isEqualTo(update);
 	}
 
 }
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
@@ -38,14 +38,15 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 /**
- * Tests of frames: any split, any interleaving, corrupt and truncated bytes.
+ * Tests framing and {@link FrameCodec} with split, interleaved, corrupt and truncated
+ * frames.
  */
 class FramingTests {
 
 	private static final int MAX_FRAME = 64 * 1024;
 
 	@Property(seed = "6", tries = 200)
-	void framesSurviveAnySplit(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int count) {
+	void decodesFramesFromArbitrarySplits(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int count) {
 		SplittableRandom random = new SplittableRandom(seed);
 		List<SidecarMessage> sent = new ArrayList<>();
 		ByteBuf bytes = Unpooled.buffer();
@@ -73,7 +74,7 @@
 	}
 
 	@Property(seed = "7", tries = 500)
-	void corruptBytesAreRefusedOrDecodeToSomeFrame(@ForAll @Size(max = 200) byte[] garbage) {
+	void corruptBytesAreRejectedOrDecodeToSomeFrame(@ForAll @Size(max = 200) byte[] garbage) {
 		EmbeddedChannel decoder = decoder();
 		try {
 			decoder.writeInbound(Unpooled.wrappedBuffer(garbage));
@@ -84,28 +85,28 @@
 			}
 		}
 		catch (InvalidFrameException | DecoderException ex) {
-			// A link that brings such bytes is closed.
+			// Expected for corrupt bytes; the link handler then closes the link.
 		}
 	}
 
 	@Test
-	void aFrameBeyondTheBoundIsRefused() {
+	void rejectsFrameAboveMaximumSize() {
 		ByteBuf head = Unpooled.buffer().writeInt(MAX_FRAME + 1);
 		assertThrows(TooLongFrameException.class, () -> decoder().writeInbound(head));
 	}
 
 	@Test
-	void aTruncatedFrameIsNeverDelivered() {
+	void doesNotDeliverTruncatedFrame() {
 		EmbeddedChannel decoder = decoder();
 		decoder.writeInbound(Unpooled.buffer().writeInt(10).writeBytes(new byte[9]));
 		assertThat((Object) decoder.readInbound()).isNull();
 	}
 
 	@Property(seed = "8", tries = 100)
-	void entryMessagesComeBackAsTheyWere(@ForAll long call, @ForAll @IntRange(min = 1) int attempt,
-			@ForAll @Size(max = 100) byte[] body, @ForAll boolean keyed) {
-		Optional<OnceKey> key = keyed ? Optional.of(new OnceKey("a", "k", call)) : Optional.empty();
-		Work work = new Work("r", WorkKind.CHAT, "a", "m", "POST", "/p", body, 3, !keyed, key, 7, 9, 1_000);
+	void decodesEncodedEntryMessages(@ForAll long call, @ForAll @IntRange(min = 1) int attempt,
+			@ForAll @Size(max = 100) byte[] body, @ForAll boolean hasKey) {
+		Optional<OnceKey> key = hasKey ? Optional.of(new OnceKey("a", "k", call)) : Optional.empty();
+		Work work = new Work("r", WorkKind.CHAT, "a", "m", "POST", "/p", body, 3, !hasKey, key, 7, 9, 1_000);
 		EntryMessage.Submit submit = new EntryMessage.Submit(new StreamId(call, attempt), work, 12);
 		EntryMessage.Submit decoded = (EntryMessage.Submit) FrameCodec
 			.decodeEntryMessage(FrameCodec.encode((EntryMessage) submit))
@@ -116,14 +117,14 @@
 		assertThat(decoded.work().patienceMillis()).isEqualTo(1_000);
 		for (EntryMessage message : List.of(new EntryMessage.Attach(new StreamId(call, attempt), "g", call, 5, 6),
 				new EntryMessage.Bar(new StreamId(call, attempt), "n", "g", call),
-				new EntryMessage.Release(new StreamId(call, attempt), keyed),
+				new EntryMessage.Release(new StreamId(call, attempt), hasKey),
 				new EntryMessage.Credit(new StreamId(call, attempt), 99), new EntryMessage.Probe())) {
 			assertThat(FrameCodec.decodeEntryMessage(FrameCodec.encode(message)).orElseThrow()).isEqualTo(message);
 		}
 	}
 
 	@Test
-	void configurationComesBackAsItWasAndIsCheckedAgainstItsDigest() {
+	void decodesConfigurationAndVerifiesItsDigest() {
 		String document = "{\"version\": 7} // ".concat("x".repeat(10_000));
 		Protocol.Frame frame = FrameCodec.encode(new ConfigurationMessage.Text(7, document));
 		assertThat(frame.getSerializedSize()).isLessThan(1_000);
@@ -136,12 +137,13 @@
 	}
 
 	@Test
-	void anotherProtocolVersionIsRefused() {
+	void rejectsOtherProtocolVersion() {
 		Protocol.Frame hello = Protocol.Frame.newBuilder()
 			.setHello(Protocol.Hello.newBuilder().setProtocol(2).setName("x"))
 			.build();
-		InvalidFrameException fault = assertThrows(InvalidFrameException.class, () -> FrameCodec.decodeHello(hello));
-		assertThat(fault).hasMessageThat().contains("version 2; this process speaks version 1");
+		InvalidFrameException exception = assertThrows(InvalidFrameException.class,
+				() -> FrameCodec.decodeHello(hello));
+		assertThat(exception).hasMessageThat().contains("version 2; this process uses version 1");
 	}
 
 	private static EmbeddedChannel decoder() {
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/SuspectCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/SuspectCodecTests.java
@@ -17,56 +17,56 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 /**
- * Tests the form in which entries tell of requests under which targets ended.
+ * Tests for {@link SuspectCodec}.
  */
 class SuspectCodecTests {
 
 	private static final RequestDigest DIGEST = new RequestDigest(-1, Long.MIN_VALUE, 7);
 
 	@Test
-	void reportsComeOutAsTheyWentIn() {
+	void decodesEncodedReports() {
 		List<SuspectReport> reports = List.of(
 				new SuspectReport(DIGEST,
 						List.of(new EndedRun(TargetRun.of("i-a", 1_700_000_000_000L), 12),
 								new EndedRun(TargetRun.of("i@b"), 0)),
 						OptionalLong.empty()),
 				new SuspectReport(new RequestDigest(0, 0, 0), List.of(), OptionalLong.of(0)));
-		Optional<Protocol.EntryDatagram> read = EntryDatagrams.read(EntryDatagrams.of(reports));
+		Optional<Protocol.EntryDatagram> read = EntryDatagramCodec.decode(EntryDatagramCodec.encode(reports));
 		assertThat(SuspectCodec.decode(read.get().getSuspects())).isEqualTo(reports);
 	}
 
-	// An entry that knows no such news has a kind less to choose from.
+	// Guards against an error at an entry of an older version that lacks this message.
 	@Test
-	void anEntryOfAFormerVersionTakesItForAnEmptyDatagram() {
-		byte[] unknownKind = Protocol.EntryDatagram.newBuilder()
+	void unknownMessageDecodesAsEmptyDatagram() {
+		byte[] unknownMessage = Protocol.EntryDatagram.newBuilder()
 			.setProtocol(2)
 			.setUnknownFields(UnknownFieldSet.newBuilder()
 				.addField(99, UnknownFieldSet.Field.newBuilder().addVarint(1).build())
 				.build())
 			.build()
 			.toByteArray();
-		assertThat(EntryDatagrams.read(unknownKind).get().getKindCase())
+		assertThat(EntryDatagramCodec.decode(unknownMessage).get().getKindCase())
 			.isEqualTo(Protocol.EntryDatagram.KindCase.KIND_NOT_SET);
 	}
 
 	@Test
-	void anAgeThatCantBeIsRefused() {
-		Protocol.SuspectNews news = Protocol.SuspectNews.newBuilder()
+	void rejectsNegativeAge() {
+		Protocol.SuspectNews encoded = Protocol.SuspectNews.newBuilder()
 			.addReports(Protocol.SuspectReport.newBuilder()
 				.addEnds(Protocol.EndedRun.newBuilder().setTarget("a@").setAgeMillis(-1)))
 			.build();
-		assertThrows(IllegalArgumentException.class, () -> SuspectCodec.decode(news));
+		assertThrows(IllegalArgumentException.class, () -> SuspectCodec.decode(encoded));
 	}
 
-	// Sixty-four reports of three ends each, as many as are told at once.
+	// Guards against reports that exceed a datagram.
 	@Test
-	void aFullDatagramIsFarBelowTheLargest() {
+	void maximumNumberOfReportsFitsIntoDatagram() {
 		SuspectReport report = new SuspectReport(DIGEST,
-				List.of(end("i-0123456789"), end("i-1123456789"), end("i-2123456789")), OptionalLong.of(600_000));
-		assertThat(EntryDatagrams.of(Collections.nCopies(64, report)).length).isLessThan(16 * 1024);
+				List.of(crash("i-0123456789"), crash("i-1123456789"), crash("i-2123456789")), OptionalLong.of(600_000));
+		assertThat(EntryDatagramCodec.encode(Collections.nCopies(64, report)).length).isLessThan(16 * 1024);
 	}
 
-	private static EndedRun end(String target) {
+	private static EndedRun crash(String target) {
 		return new EndedRun(TargetRun.of(target, 1_700_000_000_000L), 600_000);
 	}
 
