--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/audit/AuditTrail.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/audit/AuditTrail.java
@@ -16,19 +16,19 @@
 import dev.laneworks.runtime.log.LogLine;
 
 /**
- * Keeps the latest audit events, logs those that matter later, and passes all on to
- * watchers.
+ * Bounded in-memory store of the latest audit events, which also logs events and notifies
+ * listeners.
  * <p>
- * Ordinary steps of each request stay in memory only; changes, refusals, retries and
- * yields are logged too. Thread-safe.
+ * Events of some kinds, by default the usual steps of each request, stay in memory and
+ * are not logged. Thread-safe.
  *
  * @since 0.1
  */
 public final class AuditTrail implements AuditSink {
 
-	private static final Set<AuditKind> MEMORY_ONLY = EnumSet.of(AuditKind.ROUTED, AuditKind.ADMITTED);
+	private static final Set<AuditKind> NOT_LOGGED = EnumSet.of(AuditKind.ROUTED, AuditKind.ADMITTED);
 
-	/** What happens to every request that is served. */
+	/** Kinds that occur for every request and are dropped first under load. */
 	private static final Set<AuditKind> ROUTINE = EnumSet.of(AuditKind.ACCEPTED, AuditKind.ROUTED, AuditKind.ANSWERED);
 
 	private final int capacity;
@@ -37,21 +37,21 @@
 
 	private final Deque<AuditRecord> records = new ArrayDeque<>();
 
-	private final List<Consumer<AuditRecord>> watchers = new CopyOnWriteArrayList<>();
+	private final List<Consumer<AuditRecord>> listeners = new CopyOnWriteArrayList<>();
 
 	private long count;
 
 	/**
-	 * Create an empty trail.
-	 * @param capacity the most events kept in memory
+	 * Create an empty trail that does not log routing and admission.
+	 * @param capacity the maximum number of events kept in memory
 	 */
 	public AuditTrail(int capacity) {
-		this(capacity, MEMORY_ONLY);
+		this(capacity, NOT_LOGGED);
 	}
 
 	/**
 	 * Create an empty trail.
-	 * @param capacity the most events kept in memory
+	 * @param capacity the maximum number of events kept in memory
 	 * @param memoryOnly the kinds that are not logged
 	 */
 	public AuditTrail(int capacity, Set<AuditKind> memoryOnly) {
@@ -79,14 +79,14 @@
 				line.info();
 			}
 		}
-		this.watchers.forEach((w) -> w.accept(record));
+		this.listeners.forEach((l) -> l.accept(record));
 	}
 
 	/**
-	 * Return the latest events that match, newest last.
-	 * @param filter which events to return
-	 * @param limit the most events returned
-	 * @return a copy
+	 * Return the latest events that match a filter.
+	 * @param filter selects the events to return
+	 * @param limit the maximum number of events returned
+	 * @return the events, newest last; a copy that the caller may modify
 	 */
 	public synchronized List<AuditRecord> latest(Predicate<AuditEvent> filter, int limit) {
 		List<AuditRecord> matching = new ArrayList<>();
@@ -101,12 +101,11 @@
 	}
 
 	/**
-	 * Pass all later events on.
-	 * @param watcher takes events on the thread that records them, which it must not hold
-	 * up
+	 * Register a listener for all events recorded from now on.
+	 * @param listener called on the thread that records an event; must not block
 	 */
-	public void watch(Consumer<AuditRecord> watcher) {
-		this.watchers.add(watcher);
+	public void watch(Consumer<AuditRecord> listener) {
+		this.listeners.add(listener);
 	}
 
 	private synchronized AuditRecord add(AuditEvent event) {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/audit/package-info.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/audit/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keeps the audit trail within bounds and writes it to the log.
+ * Bounded audit trail that is also written to the log.
  */
 package dev.laneworks.runtime.audit;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/duty/Duty.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/duty/Duty.java
@@ -12,32 +12,33 @@
 import org.jctools.queues.MpscBlockingConsumerArrayQueue;
 
 /**
- * One thread that owns a state and works off a bounded ring of commands on it.
+ * Single-threaded event loop that owns a state and executes commands on it from a bounded
+ * queue.
  * <p>
- * Nothing else touches the state. Commands run in the order in which they were taken in;
- * between them the duty ticks.
+ * Only the thread of the duty accesses the state. Commands are executed in the order in
+ * which they were accepted; between them the duty calls a periodic task, its tick.
  *
- * @param <S> the type of state
+ * @param <S> the type of the state
  * @since 0.1
  */
 public final class Duty<S> {
 
-	private static final long PUT_WAIT_NANOS = 50_000;
+	private static final long PUT_RETRY_NANOS = 50_000;
 
 	private final String name;
 
 	private final S state;
 
-	private final MpscBlockingConsumerArrayQueue<Consumer<S>> ring;
+	private final MpscBlockingConsumerArrayQueue<Consumer<S>> queue;
 
-	/** The commands that the duty gave itself; only its own thread looks at them. */
-	private final Deque<Consumer<S>> own = new ArrayDeque<>();
+	/** Commands that the duty submitted to itself; confined to its thread. */
+	private final Deque<Consumer<S>> ownCommands = new ArrayDeque<>();
 
 	private final long tickNanos;
 
 	private final Consumer<S> tick;
 
-	private final LongAdder turnedAway = new LongAdder();
+	private final LongAdder rejected = new LongAdder();
 
 	private volatile boolean stopped;
 
@@ -47,79 +48,79 @@
 
 	/**
 	 * Create a duty; a {@link Supervisor} starts it.
-	 * @param name the thread's name
-	 * @param state what the duty owns
-	 * @param capacity the most commands that wait
-	 * @param tickEvery the time between ticks
-	 * @param tick what the duty does between commands
+	 * @param name the name of the duty and its thread
+	 * @param state the state that the duty owns
+	 * @param capacity the capacity of the queue, in commands
+	 * @param tickEvery the interval between ticks
+	 * @param tick the periodic task
 	 */
 	public Duty(String name, S state, int capacity, Duration tickEvery, Consumer<S> tick) {
 		this.name = Objects.requireNonNull(name, "name must not be null");
 		this.state = Objects.requireNonNull(state, "state must not be null");
-		this.ring = new MpscBlockingConsumerArrayQueue<>(capacity);
+		this.queue = new MpscBlockingConsumerArrayQueue<>(capacity);
 		this.tickNanos = tickEvery.toNanos();
 		this.tick = tick;
 	}
 
 	/**
-	 * Return the duty's name.
-	 * @return the name of its thread
+	 * Return the name of the duty.
+	 * @return the name, which is also the name of its thread
 	 */
 	public String name() {
 		return this.name;
 	}
 
 	/**
-	 * Give the duty a command unless its ring is full.
-	 * @param command the command
-	 * @return {@code false} if the ring is full; the refusal is counted
+	 * Submit a command unless the queue is full.
+	 * @param command the command, executed on the thread of the duty
+	 * @return {@code false} if the queue is full; the rejection is counted
 	 */
 	public boolean offer(Consumer<S> command) {
-		boolean taken = this.ring.offer(command);
-		if (!taken) {
-			this.turnedAway.increment();
+		boolean accepted = this.queue.offer(command);
+		if (!accepted) {
+			this.rejected.increment();
 		}
-		return taken;
+		return accepted;
 	}
 
 	/**
-	 * Give the duty a command, holding up the calling thread while the ring is full.
+	 * Submit a command, blocking while the queue is full.
 	 * <p>
-	 * The duty itself may give itself commands too; they run before those in the ring and
-	 * never hold it up.
-	 * @param command the command
+	 * Commands that the duty submits to itself are executed before those in the queue,
+	 * and submitting them never blocks.
+	 * @param command the command; dropped if the duty is stopped while the queue is full
 	 */
 	public void put(Consumer<S> command) {
 		if (Thread.currentThread() == this.thread) {
-			this.own.add(command);
+			this.ownCommands.add(command);
 			return;
 		}
-		while (!this.ring.offer(command)) {
+		while (!this.queue.offer(command)) {
 			if (this.stopped) {
 				return;
 			}
-			LockSupport.parkNanos(PUT_WAIT_NANOS);
+			LockSupport.parkNanos(PUT_RETRY_NANOS);
 		}
 	}
 
 	/**
-	 * Return how many commands wait.
-	 * @return the count
+	 * Return the number of commands in the queue.
+	 * @return the number, without the commands that the duty submitted to itself
 	 */
 	public int waiting() {
-		return this.ring.size();
+		return this.queue.size();
 	}
 
 	/**
-	 * Return how many commands were turned away because the ring was full.
-	 * @return the count since the start
+	 * Return the number of commands that {@link #offer} rejected.
+	 * @return the number since the duty was created
 	 */
 	public long turnedAway() {
-		return this.turnedAway.sum();
+		return this.rejected.sum();
 	}
 
 	/**
-	 * End the duty after the command it is working on.
+	 * Stop the duty after the current command and interrupt its thread.
 	 */
 	public void stop() {
 		this.stopped = true;
@@ -140,9 +141,9 @@
 
 	void step() throws InterruptedException {
 		long wait = this.nextTick - System.nanoTime();
-		Consumer<S> command = this.own.poll();
+		Consumer<S> command = this.ownCommands.poll();
 		if (command == null) {
-			command = (wait > 0) ? this.ring.poll(wait, TimeUnit.NANOSECONDS) : this.ring.poll();
+			command = (wait > 0) ? this.queue.poll(wait, TimeUnit.NANOSECONDS) : this.queue.poll();
 		}
 		if (command != null) {
 			command.accept(this.state);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/duty/Supervisor.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/duty/Supervisor.java
@@ -13,9 +13,9 @@
 /**
  * Starts duties, restarts those that fail, and gives up when they fail too often.
  * <p>
- * A supervisor that gives up tells its parent; the one at the root ends the process,
- * which the platform replaces. A restarted duty keeps its state and its ring: the command
- * that failed is lost.
+ * A supervisor that gives up reports a failure to its parent; the root supervisor calls a
+ * handler that usually ends the process, which the platform then replaces. A restarted
+ * duty keeps its state and its queue; only the failed command is lost.
  *
  * @since 0.1
  */
@@ -25,9 +25,9 @@
 
 	private final int maxFailures;
 
-	private final long withinNanos;
+	private final long periodNanos;
 
-	private final Consumer<Throwable> giveUp;
+	private final Consumer<Throwable> onGiveUp;
 
 	private final Deque<Long> failures = new ArrayDeque<>();
 
@@ -36,41 +36,42 @@
 	private final List<Supervisor> children = new ArrayList<>();
 
 	/**
-	 * Create a supervisor at the root of a tree.
+	 * Create the root supervisor of a tree.
 	 * @param name the supervisor's name
-	 * @param maxFailures the failures allowed within the time
-	 * @param within the time
-	 * @param giveUp what to do when there are more
+	 * @param maxFailures the number of failures tolerated within the period
+	 * @param within the period
+	 * @param onGiveUp receives the last failure when the limit is exceeded
 	 */
-	public Supervisor(String name, int maxFailures, Duration within, Consumer<Throwable> giveUp) {
+	public Supervisor(String name, int maxFailures, Duration within, Consumer<Throwable> onGiveUp) {
 		if (maxFailures < 1) {
 			throw new IllegalArgumentException("maxFailures must be at least 1 but is " + maxFailures);
 		}
 		this.name = name;
 		this.maxFailures = maxFailures;
-		this.withinNanos = within.toNanos();
-		this.giveUp = giveUp;
+		this.periodNanos = within.toNanos();
+		this.onGiveUp = onGiveUp;
 	}
 
 	/**
-	 * Create a supervisor below this one; its giving up counts as one failure here.
-	 * @param childName the name of the new supervisor
-	 * @param childMaxFailures the failures allowed within the time
-	 * @param within the time
-	 * @return the new supervisor
+	 * Create a child supervisor. Each time it gives up counts as one failure here.
+	 * @param childName the last part of the child's name
+	 * @param childMaxFailures the number of failures that the child tolerates within the
+	 * period
+	 * @param within the period
+	 * @return the child supervisor
 	 */
 	public synchronized Supervisor child(String childName, int childMaxFailures, Duration within) {
 		Supervisor child = new Supervisor(this.name + '/' + childName, childMaxFailures, within,
-				(ex) -> failed(childName, ex));
+				(ex) -> handleFailure(childName, ex));
 		this.children.add(child);
 		return child;
 	}
 
 	/**
-	 * Start a duty on a thread of its own.
-	 * @param <S> the type of its state
-	 * @param duty the duty
-	 * @return the duty
+	 * Start a duty on a new daemon thread.
+	 * @param <S> the type of the duty's state
+	 * @param duty the duty, which must not have been started
+	 * @return the same duty
 	 */
 	public synchronized <S> Duty<S> start(Duty<S> duty) {
 		this.duties.add(duty);
@@ -82,7 +83,7 @@
 	}
 
 	/**
-	 * End all duties below this supervisor.
+	 * Stop the duties of this supervisor and of all its descendants.
 	 */
 	public synchronized void stop() {
 		this.children.forEach(Supervisor::stop);
@@ -99,25 +100,25 @@
 				return;
 			}
 			catch (RuntimeException | Error ex) {
-				failed(duty.name(), ex);
+				handleFailure(duty.name(), ex);
 			}
 		}
 	}
 
-	private void failed(String dutyName, Throwable failure) {
+	private void handleFailure(String dutyName, Throwable failure) {
 		Logger.error(failure, "duty failed: supervisor={} duty={}", this.name, dutyName);
-		if (recordFailure().isPresent()) {
+		if (countFailure().isPresent()) {
 			Logger.error("supervisor gives up: supervisor={} failures={} last={}", this.name, this.maxFailures + 1,
 					failure.toString());
-			this.giveUp.accept(failure);
+			this.onGiveUp.accept(failure);
 		}
 	}
 
-	// Returns the count of failures if it is over the limit.
-	private synchronized Optional<Integer> recordFailure() {
+	// Returns the number of failures in the period if it exceeds the limit.
+	private synchronized Optional<Integer> countFailure() {
 		long now = System.nanoTime();
 		this.failures.addLast(now);
-		while (now - this.failures.peekFirst() > this.withinNanos) {
+		while (now - this.failures.peekFirst() > this.periodNanos) {
 			this.failures.removeFirst();
 		}
 		if (this.failures.size() <= this.maxFailures) {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/duty/package-info.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/duty/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Threads for single duties, joined by bounded rings and restarted by supervisors.
+ * Single-threaded event loops with bounded queues, restarted by supervisors.
  */
 package dev.laneworks.runtime.duty;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
@@ -10,10 +10,10 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Makes calls that end with an answer or at a time limit, whichever is first.
+ * HTTP client that limits the duration of each call.
  * <p>
- * The receiver hears of each call once. A call that is given up may still be carried out
- * by the server. Thread-safe.
+ * Each receiver is called once. The server may still execute a call that timed out.
+ * Thread-safe.
  *
  * @since 0.2
  */
@@ -24,9 +24,9 @@
 	private final XnioExecutor timer;
 
 	/**
-	 * Create a caller with time limits.
-	 * @param caller makes the calls
-	 * @param timer ends those that are not answered in time
+	 * Create a client.
+	 * @param caller the HTTP client that sends the requests
+	 * @param timer the executor for the timeouts
 	 */
 	public BoundedCalls(HttpCaller caller, XnioExecutor timer) {
 		this.caller = caller;
@@ -34,27 +34,27 @@
 	}
 
 	/**
-	 * Make a call.
-	 * @param call the call
-	 * @param maxBytes the longest body that is taken, in bytes
-	 * @param limit how long the answer may take
-	 * @param receiver takes the whole answer, or why there is none
+	 * Send a request.
+	 * @param call the request
+	 * @param maxBytes the maximum size of the response body, in bytes
+	 * @param timeout the timeout for the complete response
+	 * @param receiver receives the complete response or the reason of the failure
 	 */
-	public void call(HttpCall call, int maxBytes, Duration limit,
+	public void call(HttpCall call, int maxBytes, Duration timeout,
 			Consumer<Either<IOException, WholeResponse.Received>> receiver) {
-		AtomicBoolean over = new AtomicBoolean();
+		AtomicBoolean finished = new AtomicBoolean();
 		HttpExchange exchange = this.caller.call(call, new WholeResponse(maxBytes, (r) -> {
-			if (over.compareAndSet(false, true)) {
+			if (finished.compareAndSet(false, true)) {
 				receiver.accept(r);
 			}
 		}));
 		this.timer.executeAfter(() -> {
-			if (over.compareAndSet(false, true)) {
+			if (finished.compareAndSet(false, true)) {
 				exchange.abandon();
 				receiver.accept(Either
-					.left(new IOException(call.server() + " did not answer within " + limit.toMillis() + " ms")));
+					.left(new IOException(call.server() + " did not answer within " + timeout.toMillis() + " ms")));
 			}
-		}, limit.toMillis(), TimeUnit.MILLISECONDS);
+		}, timeout.toMillis(), TimeUnit.MILLISECONDS);
 	}
 
 }
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/DefaultBackgroundWork.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/DefaultBackgroundWork.java
@@ -6,7 +6,7 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Background work on the one task thread of an I/O thread's worker.
+ * Implementation that uses the single task thread of an I/O thread's worker.
  *
  * @since 0.2
  */
@@ -15,8 +15,9 @@
 	private final XnioIoThread thread;
 
 	/**
-	 * Create background work.
-	 * @param thread the I/O thread that takes the results; its worker has one task thread
+	 * Create an executor.
+	 * @param thread the I/O thread that receives the results; its worker must have
+	 * exactly one task thread
 	 */
 	public DefaultBackgroundWork(XnioIoThread thread) {
 		this.thread = thread;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/EventStream.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/EventStream.java
@@ -8,9 +8,9 @@
 import io.undertow.server.handlers.sse.ServerSentEventHandler;
 
 /**
- * A response of server-sent events under way.
+ * Server side of a response of server-sent events.
  * <p>
- * Thread-safe; events go out in the order in which they were given.
+ * Thread-safe. Events are sent in submission order.
  *
  * @since 0.1
  */
@@ -23,9 +23,9 @@
 	}
 
 	/**
-	 * Answer an exchange with a stream of events; the status must be set before.
-	 * @param exchange the exchange, which must have been dispatched
-	 * @param opened takes the stream once its head is on the way
+	 * Open an event stream as the response of an exchange.
+	 * @param exchange the exchange, which must be dispatched and have its status set
+	 * @param opened receives the stream when the response head is being sent
 	 */
 	public static void open(HttpServerExchange exchange, Consumer<EventStream> opened) {
 		ServerSentEventHandler handler = new ServerSentEventHandler(
@@ -35,9 +35,10 @@
 
 	/**
 	 * Send an event.
-	 * @param id the event's identity, or {@code null}
+	 * @param id the event's id, or {@code null}
 	 * @param data the event's data
-	 * @param written runs once the event was handed to the operating system
+	 * @param written runs after the event was passed to the operating system; never
+	 * called if the connection fails first
 	 */
 	public void send(String id, String data, Runnable written) {
 		this.connection.send(data, null, id, new ServerSentEventConnection.EventCallback() {
@@ -49,14 +50,14 @@
 
 			@Override
 			public void failed(ServerSentEventConnection c, String d, String e, String i, IOException ex) {
-				// The close task tells of it.
+				// The close task reports the failure.
 			}
 
 		});
 	}
 
 	/**
-	 * Send an event of which nothing more need be known.
+	 * Send an event without an id and without a callback.
 	 * @param data the event's data
 	 */
 	public void send(String data) {
@@ -64,15 +65,15 @@
 	}
 
 	/**
-	 * End the stream after the events given before.
+	 * End the stream after all submitted events were sent.
 	 */
 	public void end() {
 		this.connection.shutdown();
 	}
 
 	/**
-	 * Run a task when the stream is closed by either side.
-	 * @param task the task
+	 * Register a task that runs when either side closes the stream.
+	 * @param task the task; may run on any thread
 	 */
 	public void onClose(Runnable task) {
 		this.connection.addCloseTask((c) -> task.run());
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/EventStreamParser.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/EventStreamParser.java
@@ -6,15 +6,16 @@
 import java.util.function.Consumer;
 
 /**
- * Splits a body of server-sent events into the data of its events.
+ * Incremental parser for server-sent events that returns the data of each event.
  * <p>
- * Only the {@code data} fields are kept, which is all that engines use. Not thread-safe.
+ * Fields other than {@code data} are ignored, since engines do not send them. Not
+ * thread-safe.
  *
  * @since 0.1
  */
 public final class EventStreamParser {
 
-	private static final String DATA = "data:";
+	private static final String DATA_FIELD = "data:";
 
 	private final Consumer<String> events;
 
@@ -26,15 +27,15 @@
 
 	/**
 	 * Create a parser.
-	 * @param events takes the data of each event
+	 * @param events receives the data of each event
 	 */
 	public EventStreamParser(Consumer<String> events) {
 		this.events = events;
 	}
 
 	/**
-	 * Take a part of the body.
-	 * @param part the part
+	 * Parse the next part of the body.
+	 * @param part the part, which may end within an event or a character; read completely
 	 */
 	public void accept(ByteBuffer part) {
 		while (part.hasRemaining()) {
@@ -54,11 +55,11 @@
 		if (text.isEmpty()) {
 			endEvent();
 		}
-		else if (text.startsWith(DATA)) {
+		else if (text.startsWith(DATA_FIELD)) {
 			if (this.hasData) {
 				this.data.append('\n');
 			}
-			int start = text.startsWith(" ", DATA.length()) ? DATA.length() + 1 : DATA.length();
+			int start = text.startsWith(" ", DATA_FIELD.length()) ? DATA_FIELD.length() + 1 : DATA_FIELD.length();
 			this.data.append(text, start, text.length());
 			this.hasData = true;
 		}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpCall.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpCall.java
@@ -5,13 +5,13 @@
 import java.util.Objects;
 
 /**
- * A request to an HTTP server.
+ * Request to an HTTP server.
  *
- * @param server the server, such as {@code http://10.0.0.7:8000}
+ * @param server the URI of the server, such as {@code http://10.0.0.7:8000}
  * @param method the HTTP method
  * @param path the path and query
- * @param headers further headers
- * @param body the body, maybe empty; not copied, must not be changed
+ * @param headers additional headers
+ * @param body the body, which may be empty; not copied, must not be modified
  * @since 0.1
  */
 public record HttpCall(URI server, String method, String path, List<HttpHeader> headers, byte[] body) {
@@ -26,11 +26,11 @@
 	}
 
 	/**
-	 * Create a call without a body.
-	 * @param server the server
+	 * Create a request without additional headers and body.
+	 * @param server the URI of the server
 	 * @param method the HTTP method
 	 * @param path the path and query
-	 * @return the call
+	 * @return the request
 	 */
 	public static HttpCall of(URI server, String method, String path) {
 		return new HttpCall(server, method, path, List.of(), NO_BODY);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpCaller.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpCaller.java
@@ -15,11 +15,10 @@
 import org.xnio.XnioWorker;
 
 /**
- * Calls HTTP servers, each call on a connection of its own.
+ * Non-blocking HTTP client that opens a new connection for each call.
  * <p>
- * A connection is never used twice, so that a call that could not connect is known not to
- * have been sent. The servers called stand beside the caller, where a connection costs
- * little. Thread-safe.
+ * Connections are not reused, so that a call whose connection failed was certainly not
+ * sent. The servers are nearby, which makes connections cheap. Thread-safe.
  *
  * @since 0.1
  */
@@ -30,9 +29,9 @@
 	private final ByteBufferPool buffers;
 
 	/**
-	 * Create a caller.
-	 * @param worker the I/O threads
-	 * @param buffers the buffers for bodies
+	 * Create a client.
+	 * @param worker the I/O threads that serve the connections
+	 * @param buffers the buffer pool for request and response bodies
 	 */
 	public HttpCaller(XnioWorker worker, ByteBufferPool buffers) {
 		this.worker = worker;
@@ -40,25 +39,25 @@
 	}
 
 	/**
-	 * Make a call.
-	 * @param call the call
-	 * @param listener hears of the response
-	 * @return a handle to give the call up with
+	 * Send a request.
+	 * @param call the request
+	 * @param listener receives the response
+	 * @return a handle for cancelling the call
 	 */
 	public HttpExchange call(HttpCall call, HttpResponseListener listener) {
 		return call(call.server(), () -> Optional.of(call), listener);
 	}
 
 	/**
-	 * Make a call that is decided on when its connection is up.
-	 * @param server the server
-	 * @param atConnection gives the call right before its first byte goes out; where it
-	 * gives none the connection is closed and the listener hears of nothing
-	 * @param listener hears of the response
-	 * @return a handle to give the call up with
+	 * Open a connection, then create the request and send it.
+	 * @param server the URI of the server
+	 * @param callSupplier supplies the request immediately before its first byte is sent;
+	 * if it is empty, the connection is closed without a call of the listener
+	 * @param listener receives the response
+	 * @return a handle for cancelling the call
 	 */
-	public HttpExchange call(URI server, Supplier<Optional<HttpCall>> atConnection, HttpResponseListener listener) {
-		HttpExchange exchange = new HttpExchange(atConnection, listener, this.buffers);
+	public HttpExchange call(URI server, Supplier<Optional<HttpCall>> callSupplier, HttpResponseListener listener) {
+		HttpExchange exchange = new HttpExchange(callSupplier, listener, this.buffers);
 		OptionMap options = OptionMap.builder()
 			.set(UndertowOptions.ENABLE_HTTP2, false)
 			.set(Options.TCP_NODELAY, true)
@@ -72,7 +71,7 @@
 
 			@Override
 			public void failed(IOException ex) {
-				exchange.notSent(ex);
+				exchange.handleConnectFailure(ex);
 			}
 
 		}, server, this.worker, this.buffers, options);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpExchange.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpExchange.java
@@ -29,19 +29,19 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One call under way.
+ * Handle of one HTTP call in progress.
  *
  * @since 0.1
  */
 public final class HttpExchange {
 
-	private final Supplier<Optional<HttpCall>> atConnection;
+	private final Supplier<Optional<HttpCall>> callSupplier;
 
 	private final HttpResponseListener listener;
 
 	private final ByteBufferPool buffers;
 
-	private final AtomicBoolean over = new AtomicBoolean();
+	private final AtomicBoolean finished = new AtomicBoolean();
 
 	private volatile boolean abandoned;
 
@@ -49,52 +49,52 @@
 
 	private HttpCall call;
 
-	HttpExchange(Supplier<Optional<HttpCall>> atConnection, HttpResponseListener listener, ByteBufferPool buffers) {
-		this.atConnection = atConnection;
+	HttpExchange(Supplier<Optional<HttpCall>> callSupplier, HttpResponseListener listener, ByteBufferPool buffers) {
+		this.callSupplier = callSupplier;
 		this.listener = listener;
 		this.buffers = buffers;
 	}
 
 	/**
-	 * Give the call up: its listener hears of nothing more, and the connection is closed.
+	 * Cancel the call without further calls of its listener, and close the connection.
 	 */
 	public void abandon() {
-		giveUp(IoUtils::safeClose);
+		cancel(IoUtils::safeClose);
 	}
 
 	/**
-	 * Give the call up as {@link #abandon()} does, and reset its connection.
+	 * Cancel the call as {@link #abandon()} does, but reset the connection.
 	 * <p>
-	 * A server may take a plain close for the end of the request alone, and finds out
-	 * only when it writes: a run that waits or is read anew would go on beside the one
-	 * that takes its place.
+	 * A server may treat a plain close as the end of the request only and detect the loss
+	 * at its next write. A reset stops an execution that writes nothing yet, so that it
+	 * does not continue beside its replacement.
 	 */
 	public void reset() {
-		giveUp(HttpExchange::closeByReset);
+		cancel(HttpExchange::closeWithReset);
 	}
 
-	private void giveUp(Consumer<ClientConnection> closing) {
+	private void cancel(Consumer<ClientConnection> closeAction) {
 		this.abandoned = true;
-		this.over.set(true);
+		this.finished.set(true);
 		ClientConnection open = this.connection;
 		if (open != null) {
-			open.getIoThread().execute(() -> closing.accept(open));
+			open.getIoThread().execute(() -> closeAction.accept(open));
 		}
 	}
 
-	private static void closeByReset(ClientConnection open) {
+	private static void closeWithReset(ClientConnection open) {
 		try {
 			open.setOption(Options.CLOSE_ABORT, true);
 		}
 		catch (IOException | IllegalArgumentException ex) {
-			// A connection that is closed already takes no options.
-			Logger.debug("no reset: {}", ex.getMessage());
+			// The connection is already closed.
+			Logger.debug("cannot reset the connection: {}", ex.getMessage());
 		}
 		IoUtils.safeClose(open);
 	}
 
-	void notSent(IOException cause) {
-		if (this.over.compareAndSet(false, true)) {
+	void handleConnectFailure(IOException cause) {
+		if (this.finished.compareAndSet(false, true)) {
 			this.listener.onNotSent(cause);
 		}
 	}
@@ -105,17 +105,18 @@
 			IoUtils.safeClose(open);
 			return;
 		}
-		Optional<HttpCall> decided = this.atConnection.get();
-		if (decided.isEmpty()) {
-			this.over.set(true);
+		Optional<HttpCall> supplied = this.callSupplier.get();
+		if (supplied.isEmpty()) {
+			this.finished.set(true);
 			IoUtils.safeClose(open);
 			return;
 		}
-		this.call = decided.get();
-		// The end of a body closes the connection before it is reported; what was read
-		// comes first.
+		this.call = supplied.get();
+		// Undertow closes the connection at the end of a body before it reports that end.
+		// Deferring the handler lets received data be processed first.
 		open.getCloseSetter()
-			.set((c) -> open.getIoThread().execute(() -> broken(new IOException("the server closed the connection"))));
+			.set((c) -> open.getIoThread()
+				.execute(() -> handleBroken(new IOException("the server closed the connection"))));
 		ClientRequest request = new ClientRequest().setMethod(new HttpString(this.call.method()))
 			.setPath(this.call.path());
 		request.getRequestHeaders().put(Headers.HOST, this.call.server().getAuthority());
@@ -157,16 +158,16 @@
 			}
 		}
 		catch (IOException ex) {
-			broken(ex);
+			handleBroken(ex);
 		}
 	}
 
 	private ChannelExceptionHandler<StreamSinkChannel> flushFailed() {
-		return (c, ex) -> broken(ex);
+		return (c, ex) -> handleBroken(ex);
 	}
 
 	private void responseReady(ClientExchange exchange) {
-		if (this.over.get()) {
+		if (this.finished.get()) {
 			return;
 		}
 		this.listener.onHead(head(exchange.getResponse()));
@@ -174,7 +175,7 @@
 		ChannelListener<StreamSourceChannel> reader = this::readBody;
 		channel.getReadSetter().set(reader);
 		reader.handleEvent(channel);
-		if (!this.over.get()) {
+		if (!this.finished.get()) {
 			channel.resumeReads();
 		}
 	}
@@ -190,14 +191,14 @@
 	private void readBody(StreamSourceChannel channel) {
 		try (PooledByteBuffer pooled = this.buffers.allocate()) {
 			ByteBuffer buffer = pooled.getBuffer();
-			while (!this.over.get()) {
+			while (!this.finished.get()) {
 				buffer.clear();
 				int count = channel.read(buffer);
 				if (count == 0) {
 					return;
 				}
 				if (count < 0) {
-					ended();
+					handleEnd();
 					return;
 				}
 				buffer.flip();
@@ -205,19 +206,19 @@
 			}
 		}
 		catch (IOException ex) {
-			broken(ex);
+			handleBroken(ex);
 		}
 	}
 
-	private void ended() {
-		if (this.over.compareAndSet(false, true)) {
+	private void handleEnd() {
+		if (this.finished.compareAndSet(false, true)) {
 			this.listener.onEnd();
 		}
 		IoUtils.safeClose(this.connection);
 	}
 
-	private void broken(IOException cause) {
-		if (this.over.compareAndSet(false, true)) {
+	private void handleBroken(IOException cause) {
+		if (this.finished.compareAndSet(false, true)) {
 			this.listener.onBroken(cause);
 		}
 		IoUtils.safeClose(this.connection);
@@ -233,7 +234,7 @@
 
 			@Override
 			public void failed(IOException ex) {
-				broken(ex);
+				handleBroken(ex);
 			}
 
 		};
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpHeader.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpHeader.java
@@ -1,10 +1,10 @@
 package dev.laneworks.runtime.http;
 
 /**
- * A header of a request.
+ * Header of a request or response.
  *
- * @param name the header's name
- * @param value the value
+ * @param name the header's name, in any case
+ * @param value the header's value
  * @since 0.1
  */
 public record HttpHeader(String name, String value) {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpResponseListener.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpResponseListener.java
@@ -4,41 +4,42 @@
 import java.nio.ByteBuffer;
 
 /**
- * Hears of one call's response.
+ * Callback for the response of one call.
  * <p>
- * Exactly one of {@link #onNotSent}, {@link #onEnd} and {@link #onBroken} is called,
- * last. Called on an I/O thread, which must not be held up.
+ * The last call is exactly one of {@link #onNotSent}, {@link #onEnd} and
+ * {@link #onBroken}, unless the call is cancelled. Called on an I/O thread;
+ * implementations must not block.
  *
  * @since 0.1
  */
 public interface HttpResponseListener {
 
 	/**
-	 * Hear that no byte of the request was sent.
-	 * @param cause why
+	 * Handle a failed connection; no byte of the request was sent.
+	 * @param cause the reason of the failure
 	 */
 	void onNotSent(IOException cause);
 
 	/**
-	 * Hear of the response's head.
-	 * @param head the head
+	 * Handle the head of the response.
+	 * @param head the status and headers
 	 */
 	void onHead(HttpResponseHead head);
 
 	/**
-	 * Hear of a part of the body.
-	 * @param data the part; valid during the call only
+	 * Handle a part of the response body.
+	 * @param data the part; valid only during this call
 	 */
 	void onBody(ByteBuffer data);
 
 	/**
-	 * Hear that the response is whole.
+	 * Handle the end of a complete response.
 	 */
 	void onEnd();
 
 	/**
-	 * Hear that the connection broke after the request was sent, wholly or in part.
-	 * @param cause why
+	 * Handle a connection that broke after the request was sent, completely or in part.
+	 * @param cause the reason of the failure
 	 */
 	void onBroken(IOException cause);
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/IoWorker.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/IoWorker.java
@@ -11,23 +11,23 @@
 import org.xnio.XnioWorker;
 
 /**
- * The I/O threads and buffers that a process's HTTP servers and clients share.
+ * I/O threads and buffer pool that the HTTP servers and clients of a process share.
  *
- * @param worker the threads
- * @param buffers the buffers
+ * @param worker the I/O threads and task threads
+ * @param buffers the pool of direct buffers
  * @since 0.1
  */
 public record IoWorker(XnioWorker worker, ByteBufferPool buffers) {
 
 	private static final int BUFFER_BYTES = 16 * 1024;
 
-	private static final int BUFFERS_POOLED = 128;
+	private static final int MAX_POOLED_BUFFERS = 128;
 
 	/**
-	 * Start the threads.
-	 * @param ioThreads the threads that serve connections
-	 * @param taskThreads the most threads for calls that may block
-	 * @return the worker
+	 * Create a worker and start its threads.
+	 * @param ioThreads the number of threads that serve connections
+	 * @param taskThreads the number of threads for tasks that may block
+	 * @return the worker, with daemon threads
 	 */
 	public static IoWorker start(int ioThreads, int taskThreads) {
 		OptionMap options = OptionMap.builder()
@@ -39,10 +39,10 @@
 			.getMap();
 		try {
 			return new IoWorker(Xnio.getInstance().createWorker(options),
-					new DefaultByteBufferPool(true, BUFFER_BYTES, BUFFERS_POOLED, 0));
+					new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0));
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("the I/O threads can't be started", ex);
+			throw new UncheckedIOException("cannot start the I/O threads", ex);
 		}
 	}
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/JsonText.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/JsonText.java
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Reads and writes the JSON of HTTP bodies.
+ * Reads and writes JSON in the bodies of HTTP requests and responses. Thread-safe.
  *
  * @since 0.1
  */
@@ -26,42 +26,43 @@
 	}
 
 	/**
-	 * Return an object to be filled.
-	 * @return an empty object
+	 * Create a JSON object.
+	 * @return an empty, mutable object
 	 */
 	public static ObjectNode object() {
 		return MAPPER.createObjectNode();
 	}
 
 	/**
-	 * Write a value, such as a record.
-	 * @param value the value
-	 * @return its JSON
+	 * Write a value as JSON.
+	 * @param value the value, such as a record; {@code null} members are left out
+	 * @return the JSON text
+	 * @throws IllegalArgumentException if the value has no JSON representation
 	 */
 	public static String write(Object value) {
 		try {
 			return MAPPER.writeValueAsString(value);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalArgumentException("can't be written as JSON: " + value.getClass(), ex);
+			throw new IllegalArgumentException("cannot be written as JSON: " + value.getClass(), ex);
 		}
 	}
 
 	/**
-	 * Read any JSON.
-	 * @param text the JSON
-	 * @return the value
-	 * @throws IOException if it is not JSON, or if something follows it
+	 * Parse encoded JSON text.
+	 * @param text the JSON text, encoded as UTF-8
+	 * @return the parsed value
+	 * @throws IOException if the text is not valid JSON or has trailing content
 	 */
 	public static JsonNode read(byte[] text) throws IOException {
 		return MAPPER.readTree(text);
 	}
 
 	/**
-	 * Read any JSON.
-	 * @param text the JSON
-	 * @return the value
-	 * @throws IOException if it is not JSON, or if something follows it
+	 * Parse JSON text.
+	 * @param text the JSON text
+	 * @return the parsed value
+	 * @throws IOException if the text is not valid JSON or has trailing content
 	 */
 	public static JsonNode read(String text) throws IOException {
 		return MAPPER.readTree(text);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/WholeResponse.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/WholeResponse.java
@@ -10,7 +10,7 @@
 import io.vavr.control.Either;
 
 /**
- * Gathers a response and passes it on whole.
+ * Response listener that collects the complete response in memory.
  *
  * @since 0.1
  */
@@ -29,9 +29,9 @@
 	private boolean tooLarge;
 
 	/**
-	 * Create a listener.
-	 * @param maxBytes the largest body accepted, in bytes
-	 * @param receiver takes the response, or why there is none
+	 * Create a listener without progress notifications.
+	 * @param maxBytes the maximum size of the body, in bytes
+	 * @param receiver receives the response or the reason of the failure
 	 */
 	public WholeResponse(int maxBytes, Consumer<Either<IOException, Received>> receiver) {
 		this(maxBytes, receiver, () -> {
@@ -39,10 +39,10 @@
 	}
 
 	/**
-	 * Create a listener that tells of each part of the response.
-	 * @param maxBytes the largest body accepted, in bytes
-	 * @param receiver takes the response, or why there is none
-	 * @param progress hears that the head or a part of the body has arrived
+	 * Create a listener with progress notifications.
+	 * @param maxBytes the maximum size of the body, in bytes
+	 * @param receiver receives the response or the reason of the failure
+	 * @param progress runs when the head or a part of the body has arrived
 	 */
 	public WholeResponse(int maxBytes, Consumer<Either<IOException, Received>> receiver, Runnable progress) {
 		this.maxBytes = maxBytes;
@@ -89,24 +89,25 @@
 	}
 
 	/**
-	 * A whole response.
+	 * Complete response.
 	 *
-	 * @param head its head
-	 * @param body its body
+	 * @param head the status and headers
+	 * @param body the bytes of the body; not copied, must not be modified
 	 */
 	public record Received(HttpResponseHead head, byte[] body) {
 
 		/**
-		 * Return the status.
-		 * @return the status code
+		 * Return the status of the response.
+		 * @return the HTTP status code
 		 */
 		public int status() {
 			return this.head.status();
 		}
 
 		/**
-		 * Return the type of the body.
-		 * @return the type, or empty text
+		 * Return the media type of the body.
+		 * @return the value of the {@code Content-Type} header; an empty string if it is
+		 * absent
 		 */
 		public String contentType() {
 			return this.head.contentType();
@@ -114,7 +115,7 @@
 
 		/**
 		 * Return the body as text.
-		 * @return the text
+		 * @return the body, decoded as UTF-8
 		 */
 		public String text() {
 			return new String(this.body, StandardCharsets.UTF_8);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/package-info.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Calls HTTP servers without blocking, and says whether a request may have been sent.
+ * Non-blocking HTTP client that reports whether a request may have been sent, and helpers
+ * for HTTP bodies.
  */
 package dev.laneworks.runtime.http;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/JsonLineWriter.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/JsonLineWriter.java
@@ -15,12 +15,12 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Writes each log entry to standard output as one JSON object on one line, without ever
- * holding up the thread that logs.
+ * tinylog writer that prints each log entry to standard output as one JSON object on one
+ * line, without blocking the logging thread.
  * <p>
- * tinylog finds the writer by the name {@code json line}. A message made by
- * {@link LogLine} becomes members of the object; any other becomes the member
- * {@code message}.
+ * tinylog selects the writer by the name {@code json line}, which it derives from the
+ * name of this class. The members of a {@link LogLine} become members of the object; any
+ * other message becomes the member {@code message}.
  *
  * @since 0.1
  */
@@ -35,14 +35,14 @@
 
 	/**
 	 * Create a writer; called by tinylog.
-	 * @param properties the writer's properties, of which there are none
+	 * @param properties the writer's properties, which are not used
 	 */
 	public JsonLineWriter(Map<String, String> properties) {
 	}
 
 	/**
-	 * Name the instance that all lines of this process come from.
-	 * @param name the instance's name
+	 * Set the instance name that all lines of this process contain.
+	 * @param name the instance's name, printed without escaping
 	 */
 	public static void nameInstance(String name) {
 		instance = name;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/LineOutput.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/LineOutput.java
@@ -8,30 +8,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes lines on a thread of its own and never holds up those who log.
+ * Output that writes log lines on its own thread, so that logging never blocks.
  * <p>
- * Lines beyond the budget, or beyond a ring that a stalled output has filled, are dropped
- * and counted; a later line tells how many. Thread-safe.
+ * Lines above the rate limit, or above the capacity of the queue while the output stalls,
+ * are dropped and counted. A later line reports the counts. Thread-safe.
  */
 final class LineOutput {
 
-	/**
-	 * The lines a second that are logged; a few times what a busy entry writes.
-	 */
 	private static final double LINES_PER_SECOND = 400;
 
 	private static final double BURST_LINES = 1_200;
 
-	/** The lines that wait for the output at the most; about 1 MB. */
-	private static final int RING_LINES = 4_096;
+	/** Limits the memory of lines that wait for a stalled output. */
+	private static final int QUEUE_CAPACITY = 4_096;
 
-	private static final long FLUSH_MILLIS = 300;
+	private static final long FLUSH_TIMEOUT_MILLIS = 300;
 
 	private final OutputStream out;
 
-	private final LineBudget budget;
+	private final LogRateLimiter rateLimiter;
 
-	private final BlockingQueue<String> ring;
+	private final BlockingQueue<String> queue;
 
 	private long droppedRoutine;
 
@@ -39,32 +36,32 @@
 
 	private volatile boolean writing;
 
-	LineOutput(OutputStream out, LineBudget budget, int ringLines) {
+	LineOutput(OutputStream out, LogRateLimiter rateLimiter, int queueCapacity) {
 		this.out = out;
-		this.budget = budget;
-		this.ring = new ArrayBlockingQueue<>(ringLines);
+		this.rateLimiter = rateLimiter;
+		this.queue = new ArrayBlockingQueue<>(queueCapacity);
 	}
 
 	static LineOutput toStandardOutput() {
-		LineOutput output = new LineOutput(System.out, new LineBudget(LINES_PER_SECOND, BURST_LINES, System.nanoTime()),
-				RING_LINES);
+		LineOutput output = new LineOutput(System.out,
+				new LogRateLimiter(LINES_PER_SECOND, BURST_LINES, System.nanoTime()), QUEUE_CAPACITY);
 		output.start();
 		return output;
 	}
 
 	void start() {
-		Thread thread = new Thread(this::write, "log");
+		Thread thread = new Thread(this::writeLines, "log");
 		thread.setDaemon(true);
 		thread.start();
 	}
 
 	synchronized void offer(String line, boolean isRoutine) {
-		if (!this.budget.tryTake(isRoutine, System.nanoTime()) || !this.ring.offer(line)) {
+		if (!this.rateLimiter.tryAcquire(isRoutine, System.nanoTime()) || !this.queue.offer(line)) {
 			countDropped(isRoutine);
 			return;
 		}
 		if (this.droppedRoutine + this.droppedOther > 0 && !isRoutine) {
-			tellDropped();
+			reportDropped();
 		}
 	}
 
@@ -77,30 +74,30 @@
 		}
 	}
 
-	private void tellDropped() {
-		String told = "{\"event\":\"lines-dropped\",\"routine\":" + this.droppedRoutine + ",\"other\":"
+	private void reportDropped() {
+		String report = "{\"event\":\"lines-dropped\",\"routine\":" + this.droppedRoutine + ",\"other\":"
 				+ this.droppedOther + "}\n";
-		if (this.ring.offer(told)) {
+		if (this.queue.offer(report)) {
 			this.droppedRoutine = 0;
 			this.droppedOther = 0;
 		}
 	}
 
 	/**
-	 * Wait until what was offered is written, but not for long.
+	 * Wait until all queued lines are written, or for a short timeout.
 	 */
 	void flush() {
-		long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_MILLIS);
-		while ((!this.ring.isEmpty() || this.writing) && System.nanoTime() < end) {
+		long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_TIMEOUT_MILLIS);
+		while ((!this.queue.isEmpty() || this.writing) && System.nanoTime() < end) {
 			Thread.onSpinWait();
 			Thread.yield();
 		}
 	}
 
-	private void write() {
+	private void writeLines() {
 		try {
 			while (true) {
-				String line = this.ring.take();
+				String line = this.queue.take();
 				this.writing = true;
 				this.out.write(line.getBytes(StandardCharsets.UTF_8));
 				this.out.flush();
@@ -111,7 +108,7 @@
 			Thread.currentThread().interrupt();
 		}
 		catch (IOException ex) {
-			// Nobody reads the output any more; lines are dropped from now on.
+			// The reader has closed the output; further lines are dropped.
 			this.writing = false;
 		}
 	}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/LogLine.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/LogLine.java
@@ -4,13 +4,13 @@
 import org.tinylog.Logger;
 
 /**
- * A log line with named members, built and then logged.
+ * Builder of a structured log line with named members. Not thread-safe.
  *
  * @since 0.1
  */
 public final class LogLine {
 
-	/** The tag of lines that may be dropped first. */
+	/** Tag of lines that are dropped first. */
 	static final String ROUTINE = "routine";
 
 	private final StringBuilder json = new StringBuilder("{");
@@ -20,18 +20,18 @@
 	}
 
 	/**
-	 * Start a line.
-	 * @param event what happened, in a word or two
-	 * @return the line
+	 * Create a line.
+	 * @param event the name of the event, in one or two words
+	 * @return a line with the member {@code event}
 	 */
 	public static LogLine of(String event) {
 		return new LogLine(event);
 	}
 
 	/**
-	 * Add a member; empty text is left out.
-	 * @param name the member's name
-	 * @param value the value
+	 * Add a text member.
+	 * @param name the member's name, printed without escaping
+	 * @param value the value; an empty value adds no member
 	 * @return this line
 	 */
 	public LogLine with(String name, String value) {
@@ -44,9 +44,9 @@
 	}
 
 	/**
-	 * Add a member.
-	 * @param name the member's name
-	 * @param value the value
+	 * Add a numeric member.
+	 * @param name the member's name, printed without escaping
+	 * @param value the number
 	 * @return this line
 	 */
 	public LogLine with(String name, long value) {
@@ -55,22 +55,22 @@
 	}
 
 	/**
-	 * Log the line at the level for ordinary events.
+	 * Log the line at level info.
 	 */
 	public void info() {
 		Logger.info((Object) this);
 	}
 
 	/**
-	 * Log the line as one of many alike, which are dropped first where there are too
-	 * many.
+	 * Log the line at level info as routine; routine lines are dropped first when the
+	 * rate limit is reached.
 	 */
 	public void routine() {
 		Logger.tag(ROUTINE).info((Object) this);
 	}
 
 	/**
-	 * Log the line at the level for what an operator should look at.
+	 * Log the line at level warn, for events that need an operator's attention.
 	 */
 	public void warn() {
 		Logger.warn((Object) this);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/package-info.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Logs as one JSON object a line.
+ * Structured logging with one JSON object per line.
  */
 package dev.laneworks.runtime.log;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/metrics/MetricsText.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/metrics/MetricsText.java
@@ -11,13 +11,13 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
 /**
- * Writes metrics in the text format that common scrapers read.
+ * Writes a metric registry in the Prometheus text format.
  *
  * @since 0.1
  */
 public final class MetricsText {
 
-	/** The media type of the text. */
+	/** Media type of the text format. */
 	public static final String CONTENT_TYPE = PrometheusTextFormatWriter.CONTENT_TYPE;
 
 	private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -26,15 +26,15 @@
 
 	/**
 	 * Create a writer.
-	 * @param metrics the metrics
+	 * @param metrics the registry to write
 	 */
 	public MetricsText(MetricRegistry metrics) {
 		DropwizardExports.builder().dropwizardRegistry(metrics).register(this.registry);
 	}
 
 	/**
-	 * Write all metrics as they are now.
-	 * @return the text
+	 * Write the current values of all metrics.
+	 * @return the metrics in the Prometheus text format
 	 */
 	public String write() {
 		try {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/metrics/package-info.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/metrics/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Serves metrics to scrapers.
+ * Export of metrics for scrapers.
  */
 package dev.laneworks.runtime.metrics;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/operator/OperatorServer.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/operator/OperatorServer.java
@@ -22,9 +22,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * Serves operators and scrapers on a port of its own.
+ * HTTP server for operators and metric scrapers, on its own port.
  * <p>
- * {@code /livez}, {@code /readyz}, {@code /metrics}, {@code /status},
+ * It serves {@code /livez}, {@code /readyz}, {@code /metrics}, {@code /status},
  * {@code /audit?kind=&subject=&limit=} and {@code /trace/REQUEST}.
  *
  * @since 0.1
@@ -40,26 +40,26 @@
 	private final Undertow server;
 
 	/**
-	 * Create a server.
+	 * Create a server; {@link #start} opens its port.
 	 * @param worker the I/O threads
-	 * @param address where to listen
-	 * @param metrics the process's metrics
-	 * @param audit the process's audit trail
-	 * @param ready whether the process takes new work
-	 * @param status what the process believes, to be written as JSON; may block
-	 * @param more further routes of the program
+	 * @param address the local address to bind to
+	 * @param metrics the metric registry of the process
+	 * @param audit the audit trail of the process
+	 * @param ready determines whether the process accepts new requests
+	 * @param status supplies the state of the process, written as JSON; may block
+	 * @param additionalRoutes additional routes of the program
 	 */
 	public OperatorServer(XnioWorker worker, InetSocketAddress address, MetricRegistry metrics, AuditTrail audit,
-			BooleanSupplier ready, Supplier<Object> status, RoutingHandler more) {
+			BooleanSupplier ready, Supplier<Object> status, RoutingHandler additionalRoutes) {
 		MetricsText text = new MetricsText(metrics);
 		RoutingHandler routes = Handlers.routing()
 			.get("/livez", (e) -> e.getResponseSender().send("live\n"))
-			.get("/readyz", (e) -> ready(e, ready.getAsBoolean()))
+			.get("/readyz", (e) -> sendReadiness(e, ready.getAsBoolean()))
 			.get("/metrics", blocking((e) -> send(e, MetricsText.CONTENT_TYPE, text.write())))
 			.get("/status", blocking((e) -> send(e, JSON, JsonText.write(status.get()))))
-			.get("/audit", blocking((e) -> audit(e, audit)))
-			.get("/trace/{request}", blocking((e) -> trace(e, audit)));
-		routes.addAll(more);
+			.get("/audit", blocking((e) -> sendAudit(e, audit)))
+			.get("/trace/{request}", blocking((e) -> sendTrace(e, audit)));
+		routes.addAll(additionalRoutes);
 		this.server = Undertow.builder()
 			.setWorker(worker)
 			.addHttpListener(address.getPort(), address.getHostString())
@@ -68,32 +68,32 @@
 	}
 
 	/**
-	 * Start to listen.
+	 * Start listening.
 	 */
 	public void start() {
 		this.server.start();
 	}
 
 	/**
-	 * End listening.
+	 * Stop listening.
 	 */
 	public void stop() {
 		this.server.stop();
 	}
 
 	/**
-	 * Return where the server listens.
-	 * @return the address
+	 * Return the address that the server listens on.
+	 * @return the actual address, also if the server was bound to port 0
 	 */
 	public InetSocketAddress address() {
 		return (InetSocketAddress) this.server.getListenerInfo().get(0).getAddress();
 	}
 
 	/**
-	 * Answer with a body.
-	 * @param exchange the exchange
-	 * @param type the media type
-	 * @param body the body
+	 * Send a response body.
+	 * @param exchange the exchange to answer
+	 * @param type the media type of the body
+	 * @param body the text of the body
 	 */
 	public static void send(HttpServerExchange exchange, String type, String body) {
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, type);
@@ -104,19 +104,19 @@
 		return (e) -> e.dispatch(handler);
 	}
 
-	private static void ready(HttpServerExchange exchange, boolean ready) {
+	private static void sendReadiness(HttpServerExchange exchange, boolean ready) {
 		exchange.setStatusCode(ready ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
 		exchange.getResponseSender().send(ready ? "ready\n" : "not ready\n");
 	}
 
-	private static void audit(HttpServerExchange exchange, AuditTrail audit) {
+	private static void sendAudit(HttpServerExchange exchange, AuditTrail audit) {
 		String kind = parameter(exchange, "kind", "");
 		String subject = parameter(exchange, "subject", "");
 		List<AuditRecord> records = audit.latest((e) -> matches(e, kind, subject), limit(exchange));
 		send(exchange, JSON, JsonText.write(records));
 	}
 
-	private static void trace(HttpServerExchange exchange, AuditTrail audit) {
+	private static void sendTrace(HttpServerExchange exchange, AuditTrail audit) {
 		String request = parameter(exchange, "request", "");
 		List<AuditRecord> records = audit.latest((e) -> e.subject().startsWith(request), MAX_LIMIT);
 		if (records.isEmpty()) {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/operator/package-info.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/operator/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The port that operators and scrapers use.
+ * HTTP server for operators and metric scrapers.
  */
 package dev.laneworks.runtime.operator;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
@@ -17,9 +17,9 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Reads the configuration service over HTTP.
+ * HTTP client of the platform's configuration service.
  * <p>
- * {@code GET /configuration?after=V&wait=S} answers 200 with {@code {"version": …,
+ * {@code GET /configuration?after=V&wait=S} returns 200 with {@code {"version": …,
  * "document": "…"}} as soon as the service holds a version above {@code V}, or 204 after
  * {@code S} seconds without one.
  *
@@ -27,11 +27,11 @@
  */
 public final class HttpConfigurationService implements ConfigurationService {
 
-	private static final int MAX_BYTES = 8 << 20;
+	private static final int MAX_BODY_BYTES = 8 << 20;
 
 	private static final int OK = 200;
 
-	private static final Duration SLACK = Duration.ofSeconds(3);
+	private static final Duration TIMEOUT_MARGIN = Duration.ofSeconds(3);
 
 	private final BoundedCalls calls;
 
@@ -40,11 +40,12 @@
 	private final Duration wait;
 
 	/**
-	 * Create a reader.
-	 * @param caller makes the calls
-	 * @param timer ends calls that are not answered
-	 * @param server the service
-	 * @param wait how long the service may hold a watch, in whole seconds
+	 * Create a client.
+	 * @param caller the HTTP client that sends the requests
+	 * @param timer the executor for the timeouts of requests
+	 * @param server the URI of the service
+	 * @param wait the longest time that the service may delay the answer to a watch, in
+	 * whole seconds
 	 */
 	public HttpConfigurationService(HttpCaller caller, XnioExecutor timer, URI server, Duration wait) {
 		this.calls = new BoundedCalls(caller, timer);
@@ -55,13 +56,13 @@
 	@Override
 	public void watch(long afterVersion, Consumer<Either<IOException, PublishedDocument>> receiver) {
 		String path = "/configuration?after=" + afterVersion + "&wait=" + this.wait.toSeconds();
-		this.calls.call(HttpCall.of(this.server, "GET", path), MAX_BYTES, this.wait.plus(SLACK),
-				(r) -> receiver.accept(r.flatMap(HttpConfigurationService::document)));
+		this.calls.call(HttpCall.of(this.server, "GET", path), MAX_BODY_BYTES, this.wait.plus(TIMEOUT_MARGIN),
+				(r) -> receiver.accept(r.flatMap(HttpConfigurationService::parseDocument)));
 	}
 
-	private static Either<IOException, PublishedDocument> document(WholeResponse.Received received) {
+	private static Either<IOException, PublishedDocument> parseDocument(WholeResponse.Received received) {
 		if (received.status() != OK) {
-			return Either.left(new IOException("the configuration service answered " + received.status()));
+			return Either.left(new IOException("the configuration service returned status " + received.status()));
 		}
 		try {
 			JsonNode json = JsonText.read(received.body());
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
@@ -14,14 +14,14 @@
 import io.vavr.control.Either;
 
 /**
- * Reads the live list over HTTP: {@code GET /instances?name=NAME} answers
+ * HTTP client of the platform's live list: {@code GET /instances?name=NAME} returns
  * {@code [{"name": …, "state": "live"|"leaving"}]}.
  *
  * @since 0.1
  */
 public final class HttpLiveList implements LiveList {
 
-	private static final int MAX_BYTES = 1 << 20;
+	private static final int MAX_BODY_BYTES = 1 << 20;
 
 	private static final int OK = 200;
 
@@ -30,9 +30,9 @@
 	private final URI server;
 
 	/**
-	 * Create a reader.
-	 * @param caller makes the calls
-	 * @param server the platform
+	 * Create a client.
+	 * @param caller the HTTP client that sends the requests
+	 * @param server the URI of the platform
 	 */
 	public HttpLiveList(HttpCaller caller, URI server) {
 		this.caller = caller;
@@ -42,12 +42,12 @@
 	@Override
 	public void read(String name, Consumer<Either<IOException, List<LiveInstance>>> receiver) {
 		this.caller.call(HttpCall.of(this.server, "GET", "/instances?name=" + name),
-				new WholeResponse(MAX_BYTES, (r) -> receiver.accept(r.flatMap(HttpLiveList::instances))));
+				new WholeResponse(MAX_BODY_BYTES, (r) -> receiver.accept(r.flatMap(HttpLiveList::parseInstances))));
 	}
 
-	private static Either<IOException, List<LiveInstance>> instances(WholeResponse.Received received) {
+	private static Either<IOException, List<LiveInstance>> parseInstances(WholeResponse.Received received) {
 		if (received.status() != OK) {
-			return Either.left(new IOException("the live list answered " + received.status()));
+			return Either.left(new IOException("the live list returned status " + received.status()));
 		}
 		try {
 			List<LiveInstance> instances = new ArrayList<>();
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/LiveInstance.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/LiveInstance.java
@@ -1,10 +1,10 @@
 package dev.laneworks.runtime.platform;
 
 /**
- * An instance as the platform's list shows it, late.
+ * Instance in the platform's live list, which may be out of date.
  *
  * @param name the instance's name
- * @param leaving whether it is to be replaced
+ * @param leaving whether the platform is about to replace the instance
  * @since 0.1
  */
 public record LiveInstance(String name, boolean leaving) {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/package-info.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reads what the platform publishes.
+ * Clients of the platform's configuration service and live list.
  */
 package dev.laneworks.runtime.platform;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/Addresses.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/Addresses.java
@@ -9,7 +9,8 @@
 import dev.laneworks.core.document.DocumentObject;
 
 /**
- * Reads addresses from settings; hosts are IP numbers.
+ * Reads network addresses from settings. Hosts must be literal IP addresses, so that no
+ * name is resolved.
  *
  * @since 0.1
  */
@@ -19,29 +20,29 @@
 
 	private static final int MAX_PORT = 65_535;
 
-	/** Stands in for an address that is wrong. */
-	private static final InetSocketAddress NOWHERE = new InetSocketAddress("0.0.0.0", 0);
+	private static final InetSocketAddress PLACEHOLDER = new InetSocketAddress("0.0.0.0", 0);
 
 	private Addresses() {
 	}
 
 	/**
-	 * Read an address that must be present.
-	 * @param object the settings
-	 * @param name the setting
-	 * @return the address
+	 * Read a required address.
+	 * @param object the settings, which record a fault if the address is missing or
+	 * invalid
+	 * @param name the name of the setting
+	 * @return the address; a placeholder after a fault
 	 */
 	public static InetSocketAddress address(DocumentObject object, String name) {
 		String text = object.text(name);
 		return parse(text).orElseGet(() -> object.invalid(name,
-				"must be an IP number and a port such as \"10.0.0.7:7400\" but is \"" + text + '"', NOWHERE));
+				"must be an IP number and a port such as \"10.0.0.7:7400\" but is \"" + text + '"', PLACEHOLDER));
 	}
 
 	/**
-	 * Read the URI of an HTTP server that must be present.
-	 * @param object the settings
-	 * @param name the setting
-	 * @return the URI
+	 * Read the required URI of an HTTP server.
+	 * @param object the settings, which record a fault if the URI is missing or invalid
+	 * @param name the name of the setting
+	 * @return the URI; a placeholder after a fault
 	 */
 	public static URI server(DocumentObject object, String name) {
 		String text = object.text(name);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/CommonSettings.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/CommonSettings.java
@@ -7,24 +7,25 @@
 import dev.laneworks.core.document.DocumentObject;
 
 /**
- * The settings that both programs have.
+ * Settings that entries and sidecars share.
  *
- * @param instance the name of the instance; for a sidecar, of its target
- * @param dataCentre the data centre it runs in
- * @param operatorAddress where operators and scrapers reach it
- * @param platform the platform's configuration service and live list
- * @param watchWait how long the configuration service may hold a watch
- * @param auditCapacity the most audit events kept in memory
+ * @param instance the name of the instance; for a sidecar, the name of its target
+ * @param dataCentre the data centre that the instance runs in
+ * @param operatorAddress the local address of the operator server
+ * @param platform the server of the platform's configuration service and live list
+ * @param watchWait the longest time that the configuration service may delay the answer
+ * to a watch
+ * @param auditCapacity the maximum number of audit events kept in memory
  * @since 0.1
  */
 public record CommonSettings(String instance, String dataCentre, InetSocketAddress operatorAddress, URI platform,
 		Duration watchWait, int auditCapacity) {
 
 	/**
-	 * Read the settings.
-	 * @param object the document
-	 * @param nameMember the setting that holds the name
-	 * @return the settings
+	 * Read the shared settings of a program.
+	 * @param object the document, which records a fault for each invalid setting
+	 * @param nameMember the name of the setting that holds the instance's name
+	 * @return the settings, with placeholders for invalid ones
 	 */
 	public static CommonSettings read(DocumentObject object, String nameMember) {
 		return new CommonSettings(object.text(nameMember), object.text("dataCentre"),
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ExitCode.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ExitCode.java
@@ -1,22 +1,22 @@
 package dev.laneworks.runtime.program;
 
 /**
- * How a program ends.
+ * Exit codes of the programs.
  *
  * @since 0.1
  */
 public enum ExitCode {
 
-	/** It did what was asked. */
+	/** The program completed successfully. */
 	OK(0),
 
-	/** It failed while running. */
+	/** The program failed while running. */
 	FAILED(1),
 
-	/** The command line or a setting is wrong; nothing was started. */
+	/** The command line or a setting is invalid; nothing was started. */
 	USAGE(2),
 
-	/** A part failed too often; the platform should replace the process. */
+	/** A component failed too often; the platform should replace the process. */
 	GAVE_UP(70);
 
 	private final int code;
@@ -26,8 +26,8 @@
 	}
 
 	/**
-	 * Return the number that the operating system sees.
-	 * @return the exit code
+	 * Return the numeric exit status for the operating system.
+	 * @return the status, from 0 to 255
 	 */
 	public int code() {
 		return this.code;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/MonotonicClock.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/MonotonicClock.java
@@ -5,50 +5,51 @@
 import dev.laneworks.core.time.SuspensionMeter;
 
 /**
- * The time that decisions are made by: it never falls, and goes on while the process is
- * paused and, once {@link #countSuspensions()} was called, while its machine is
- * suspended.
+ * Monotonic clock for timeouts and decisions.
+ * <p>
+ * It advances while the process is paused and, after {@link #countSuspensions()}, also
+ * while the machine is suspended. Thread-safe.
  *
  * @since 0.1
  */
 public final class MonotonicClock {
 
-	private static final SuspensionMeter METER = new SuspensionMeter(MonotonicClock::steadyMillis,
+	private static final SuspensionMeter SUSPENSION_METER = new SuspensionMeter(MonotonicClock::steadyMillis,
 			System::currentTimeMillis);
 
 	private MonotonicClock() {
 	}
 
 	/**
-	 * Return the time.
-	 * @return milliseconds since some moment before the process started
+	 * Return the current time.
+	 * @return the time in milliseconds since an arbitrary origin
 	 */
 	public static long millis() {
-		return METER.millis();
+		return SUSPENSION_METER.millis();
 	}
 
 	/**
-	 * Count suspensions from now on, if the machine has a clock for it. Takes some 25 to
-	 * 40 ms at its first call, so that a start does it last.
+	 * Include suspensions of the machine from now on, if the operating system has a clock
+	 * for it. The first call loads a native library and should come last in a start.
 	 */
 	public static void countSuspensions() {
-		BootClock.open().ifPresent((c) -> METER.use(c::millis));
+		BootClock.open().ifPresent((c) -> SUSPENSION_METER.use(c::millis));
 	}
 
 	/**
-	 * Look whether the machine was suspended, also where the time of day does not show
-	 * it.
+	 * Check for a suspension that no jump of the time of day revealed. To be called
+	 * periodically.
 	 */
 	public static void look() {
-		METER.look();
+		SUSPENSION_METER.look();
 	}
 
 	/**
-	 * Return for how long the machine was suspended since suspensions are counted.
-	 * @return milliseconds
+	 * Return the total duration of the suspensions that were included.
+	 * @return the duration in milliseconds
 	 */
 	public static long suspendedMillis() {
-		return METER.suspendedMillis();
+		return SUSPENSION_METER.suspendedMillis();
 	}
 
 	private static long steadyMillis() {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ProcessParts.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ProcessParts.java
@@ -21,8 +21,8 @@
 import dev.laneworks.runtime.platform.HttpConfigurationService;
 
 /**
- * What every running process of the system has: I/O threads, a supervisor, an audit
- * trail, metrics and an end.
+ * Components that every process of the system needs: I/O threads, root supervisor, audit
+ * trail, metrics and termination. Thread-safe.
  *
  * @since 0.1
  */
@@ -34,10 +34,10 @@
 
 	private static final int MAX_FAILURES = 5;
 
-	private static final Duration ANSWER_WAIT = Duration.ofSeconds(2);
+	private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(2);
 
-	/** How long the last bytes may take to reach the operating system. */
-	private static final Duration FLUSH = Duration.ofMillis(200);
+	/** Lets pending responses and log lines reach the operating system. */
+	private static final Duration FLUSH_DELAY = Duration.ofMillis(200);
 
 	private final CommonSettings settings;
 
@@ -56,10 +56,10 @@
 	private volatile ExitCode exitCode = ExitCode.OK;
 
 	/**
-	 * Start the I/O threads and create the rest.
-	 * @param name the name of the supervisor at the root
-	 * @param settings what both programs have
-	 * @param ioThreads the threads that serve HTTP connections
+	 * Create the components and start the I/O threads.
+	 * @param name the name of the root supervisor
+	 * @param settings the settings that entries and sidecars share
+	 * @param ioThreads the number of threads that serve HTTP connections
 	 */
 	public ProcessParts(String name, CommonSettings settings, int ioThreads) {
 		this.settings = settings;
@@ -70,48 +70,48 @@
 	}
 
 	/**
-	 * Return the I/O threads.
-	 * @return the threads and their buffers
+	 * Return the I/O threads of the process.
+	 * @return the threads and their buffer pool
 	 */
 	public IoWorker io() {
 		return this.io;
 	}
 
 	/**
-	 * Return what calls HTTP servers.
-	 * @return the caller
+	 * Return the HTTP client of the process.
+	 * @return the client, which runs on the I/O threads
 	 */
 	public HttpCaller caller() {
 		return this.caller;
 	}
 
 	/**
-	 * Return the audit trail.
-	 * @return the trail
+	 * Return the audit trail of the process.
+	 * @return the trail, limited by the {@code auditCapacity} setting
 	 */
 	public AuditTrail audit() {
 		return this.audit;
 	}
 
 	/**
-	 * Return the metrics.
-	 * @return the registry
+	 * Return the metric registry of the process.
+	 * @return the registry that the operator server exports
 	 */
 	public MetricRegistry metrics() {
 		return this.metrics;
 	}
 
 	/**
-	 * Return the supervisor at the root.
-	 * @return the supervisor
+	 * Return the root supervisor.
+	 * @return the supervisor, which ends the process when it gives up
 	 */
 	public Supervisor supervisor() {
 		return this.supervisor;
 	}
 
 	/**
-	 * Return the platform's configuration service.
-	 * @return a reader of it
+	 * Create a client of the platform's configuration service.
+	 * @return a new client
 	 */
 	public ConfigurationService configurationService() {
 		return new HttpConfigurationService(this.caller, this.io.worker().getIoThread(), this.settings.platform(),
@@ -119,31 +119,32 @@
 	}
 
 	/**
-	 * Publish a number as a metric.
+	 * Register a gauge.
 	 * @param name the metric's name
-	 * @param value gives the number; called on any thread
+	 * @param value supplies the current value; called on any thread
 	 */
 	public void gauge(String name, LongSupplier value) {
 		this.metrics.register(name, (Gauge<Long>) value::getAsLong);
 	}
 
 	/**
-	 * Ask a duty for something of its state, and wait for the answer.
-	 * @param <S> the type of state
-	 * @param duty the duty
-	 * @param question makes the answer, on the duty's thread
-	 * @return the answer
-	 * @throws IllegalStateException if the duty does not answer in time
+	 * Evaluate a function on a duty's state and wait for the result.
+	 * @param <S> the type of the state
+	 * @param duty the duty that owns the state
+	 * @param query the function, called on the duty's thread
+	 * @return the result of the function
+	 * @throws IllegalStateException if there is no result in time or the caller is
+	 * interrupted
 	 */
-	public static <S> Object ask(Duty<S> duty, Function<S, Object> question) {
+	public static <S> Object ask(Duty<S> duty, Function<S, Object> query) {
 		CompletableFuture<Object> answer = new CompletableFuture<>();
-		duty.put((s) -> answer.complete(question.apply(s)));
+		duty.put((s) -> answer.complete(query.apply(s)));
 		try {
-			return answer.get(ANSWER_WAIT.toMillis(), TimeUnit.MILLISECONDS);
+			return answer.get(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
-			throw new IllegalStateException("interrupted while asking " + duty.name(), ex);
+			throw new IllegalStateException("interrupted while waiting for an answer from " + duty.name(), ex);
 		}
 		catch (ExecutionException | TimeoutException ex) {
 			throw new IllegalStateException(duty.name() + " did not answer in time", ex);
@@ -151,8 +152,8 @@
 	}
 
 	/**
-	 * Make the process end; the first call counts.
-	 * @param code how
+	 * Request the end of the process. Calls after the first one have no effect.
+	 * @param code the exit code of the process
 	 */
 	public synchronized void end(ExitCode code) {
 		if (!isEnding()) {
@@ -162,8 +163,8 @@
 	}
 
 	/**
-	 * Make the process end after a time, unless the time is zero.
-	 * @param limit the time
+	 * Schedule the end of the process with {@link ExitCode#OK}.
+	 * @param limit the delay; zero schedules nothing
 	 */
 	public void endAfter(Duration limit) {
 		if (!limit.isZero()) {
@@ -174,7 +175,7 @@
 	}
 
 	/**
-	 * Return whether the process is to end.
+	 * Determine whether the end of the process was requested.
 	 * @return {@code true} after {@link #end}
 	 */
 	public boolean isEnding() {
@@ -182,13 +183,13 @@
 	}
 
 	/**
-	 * Wait until the process is to end.
-	 * @return how it ends
+	 * Block until the end of the process is requested.
+	 * @return the exit code of the process
 	 */
 	public ExitCode awaitEnd() {
 		try {
 			this.ended.await();
-			Thread.sleep(FLUSH.toMillis());
+			Thread.sleep(FLUSH_DELAY.toMillis());
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/Program.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/Program.java
@@ -20,10 +20,11 @@
 import joptsimple.OptionSpec;
 
 /**
- * The command line that all programs share: a settings file, checked whole before
- * anything starts, and subcommands.
+ * Command line that all programs share: options, a settings file and subcommands.
+ * <p>
+ * The settings file is validated completely before anything starts.
  *
- * @param <T> the type of settings
+ * @param <T> the type of the settings
  * @since 0.1
  */
 public final class Program<T> {
@@ -39,25 +40,25 @@
 	private final List<ProgramCommand> commands;
 
 	/**
-	 * Create a program.
+	 * Create a program that reads its settings only at its start.
 	 * @param name the program's name
-	 * @param summary what it does, in one line
-	 * @param settingsReader reads its settings
-	 * @param runner runs it until it is to end
-	 * @param commands its subcommands
+	 * @param summary a one-line description for the help page
+	 * @param settingsReader reads the settings from the document
+	 * @param runner runs the program until it ends
+	 * @param commands the subcommands
 	 */
 	public Program(String name, String summary, Function<DocumentObject, T> settingsReader,
 			Function<T, ExitCode> runner, List<ProgramCommand> commands) {
-		this(name, summary, settingsReader, (s, again) -> runner.apply(s), commands);
+		this(name, summary, settingsReader, (s, reload) -> runner.apply(s), commands);
 	}
 
 	/**
-	 * Create a program that may read its settings again while it runs.
+	 * Create a program that can reload its settings while it runs.
 	 * @param name the program's name
-	 * @param summary what it does, in one line
-	 * @param settingsReader reads its settings
-	 * @param runner runs it until it is to end
-	 * @param commands its subcommands
+	 * @param summary a one-line description for the help page
+	 * @param settingsReader reads the settings from the document
+	 * @param runner runs the program until it ends
+	 * @param commands the subcommands
 	 */
 	public Program(String name, String summary, Function<DocumentObject, T> settingsReader, ProgramRunner<T> runner,
 			List<ProgramCommand> commands) {
@@ -69,14 +70,14 @@
 	}
 
 	/**
-	 * Run the program.
+	 * Parse the command line and run the program or the selected subcommand.
 	 * @param arguments the command line
-	 * @param out where results go
-	 * @param err where faults go
-	 * @return how the program ends
+	 * @param out the stream for results
+	 * @param err the stream for errors
+	 * @return the exit code of the program
 	 */
 	public ExitCode run(String[] arguments, PrintStream out, PrintStream err) {
-		// Undertow's and XNIO's logs go the way of all others.
+		// Routes the logs of Undertow and XNIO to tinylog.
 		System.setProperty("org.jboss.logging.provider", "slf4j");
 		if (arguments.length > 0) {
 			Optional<ProgramCommand> command = this.commands.stream()
@@ -88,9 +89,9 @@
 			}
 		}
 		OptionParser parser = new OptionParser();
-		OptionSpec<Void> help = parser.accepts("help", "print this page");
+		OptionSpec<Void> help = parser.accepts("help", "print this help");
 		OptionSpec<Void> version = parser.accepts("version", "print the version");
-		OptionSpec<Void> check = parser.accepts("check-config", "check the settings and end");
+		OptionSpec<Void> check = parser.accepts("check-config", "check the settings and exit");
 		OptionSpec<String> config = parser.accepts("config", "the settings, JSON with comments")
 			.withRequiredArg()
 			.describedAs("FILE");
@@ -120,8 +121,8 @@
 	}
 
 	/**
-	 * Return the version of the workspace.
-	 * @return the version
+	 * Return the version of the software.
+	 * @return the version in the manifest; {@code development} if there is none
 	 */
 	public static String version() {
 		String version = Program.class.getPackage().getImplementationVersion();
@@ -135,7 +136,7 @@
 			return ExitCode.USAGE;
 		}
 		if (checkOnly) {
-			out.println(file + ": the settings are good");
+			out.println(file + ": the settings are valid");
 			return ExitCode.OK;
 		}
 		return this.runner.run(settings.get(), () -> read(file));
@@ -147,7 +148,7 @@
 			return DocumentReader.read(file, text, this.settingsReader).mapLeft(InvalidDocumentException::getMessage);
 		}
 		catch (IOException ex) {
-			return Either.left(file + ": can't be read: " + ex.getMessage());
+			return Either.left(file + ": cannot be read: " + ex.getMessage());
 		}
 	}
 
@@ -168,10 +169,10 @@
 			parser.printHelpOn(out);
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("the help page can't be printed", ex);
+			throw new IllegalStateException("cannot print the help page", ex);
 		}
 		out.println();
-		out.println("Exit codes: 0 done, 1 failed, 2 wrong command line or setting, 70 a part failed too often");
+		out.println("Exit codes: 0 done, 1 failed, 2 invalid command line or setting, 70 a component failed too often");
 	}
 
 }
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ProgramCommand.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ProgramCommand.java
@@ -4,30 +4,30 @@
 import java.util.List;
 
 /**
- * A subcommand of a program, such as {@code check-config}.
+ * Subcommand of a program, selected by the first argument of the command line.
  *
  * @since 0.1
  */
 public interface ProgramCommand {
 
 	/**
-	 * Return the word that selects the command.
-	 * @return the name
+	 * Return the name of the command.
+	 * @return the argument that selects the command
 	 */
 	String name();
 
 	/**
-	 * Return what the command does.
-	 * @return one line with its arguments
+	 * Return the description of the command for the help page.
+	 * @return one line, which includes the arguments
 	 */
 	String summary();
 
 	/**
 	 * Run the command.
 	 * @param arguments the arguments after the command's name
-	 * @param out where results go
-	 * @param err where faults go
-	 * @return how the program ends
+	 * @param out the stream for results
+	 * @param err the stream for errors
+	 * @return the exit code of the program
 	 */
 	ExitCode run(List<String> arguments, PrintStream out, PrintStream err);
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/StopSignals.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/StopSignals.java
@@ -6,39 +6,39 @@
 import sun.misc.Signal;
 
 /**
- * Turns the operating system's signals into a planned stop.
+ * Handlers of the operating system's signals for a planned stop and for reloading.
  * <p>
- * The first TERM or INT starts the stop. A further TERM changes nothing, since platforms
- * repeat it; a second INT, which comes from somebody at a terminal, ends the process at
- * once.
+ * The first TERM or INT starts the planned stop. Further TERM signals are ignored, since
+ * platforms repeat them. A second INT, usually from a terminal, halts the process
+ * immediately.
  *
  * @since 0.1
  */
 public final class StopSignals {
 
-	private static final int EXIT_BY_INTERRUPT = 130;
+	private static final int INTERRUPTED_EXIT_STATUS = 130;
 
 	private final AtomicInteger interrupts = new AtomicInteger();
 
 	private final AtomicInteger signals = new AtomicInteger();
 
 	/**
-	 * Handle signals from now on.
-	 * @param stop starts the planned stop; called once
+	 * Install the handlers of TERM and INT.
+	 * @param stop starts the planned stop; called once, on the signal's thread
 	 */
 	public void handle(Runnable stop) {
 		Signal.handle(new Signal("TERM"), (s) -> onSignal("TERM", stop));
 		Signal.handle(new Signal("INT"), (s) -> {
 			if (this.interrupts.incrementAndGet() > 1) {
-				Runtime.getRuntime().halt(EXIT_BY_INTERRUPT);
+				Runtime.getRuntime().halt(INTERRUPTED_EXIT_STATUS);
 			}
 			onSignal("INT", stop);
 		});
 	}
 
 	/**
-	 * Do something when the settings are said to have changed, instead of ending.
-	 * @param reload reads the settings again; called on the thread of the signal
+	 * Install the handler of HUP, which would end the process otherwise.
+	 * @param reload reloads the settings; called on the signal's thread
 	 */
 	public void handleReload(Runnable reload) {
 		Signal.handle(new Signal("HUP"), (s) -> {
@@ -49,7 +49,7 @@
 
 	private void onSignal(String name, Runnable stop) {
 		boolean first = this.signals.incrementAndGet() == 1;
-		// The stop first: nothing else may keep it from being taken.
+		// Stops before logging, so that a failure to log cannot prevent the stop.
 		if (first) {
 			stop.run();
 		}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/package-info.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What the command lines of all programs share.
+ * Command line, settings, clock and process lifecycle that all programs share.
  */
 package dev.laneworks.runtime.program;
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/duty/DutyTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/duty/DutyTests.java
@@ -22,12 +22,12 @@
 
 	private static final long WAIT_SECONDS = 10;
 
-	private final AtomicReference<Throwable> gaveUp = new AtomicReference<>();
+	private final AtomicReference<Throwable> escalatedFailure = new AtomicReference<>();
 
-	private final Supervisor supervisor = new Supervisor("test", 2, Duration.ofMinutes(1), this.gaveUp::set);
+	private final Supervisor supervisor = new Supervisor("test", 2, Duration.ofMinutes(1), this.escalatedFailure::set);
 
 	@Test
-	void aDutyMayGiveItselfMoreThanItsRingHolds() throws InterruptedException {
+	void dutyMaySubmitMoreCommandsToItselfThanItsQueueHolds() throws InterruptedException {
 		Duty<List<Integer>> duty = start();
 		CountDownLatch done = new CountDownLatch(COMMANDS);
 		duty.put((s) -> {
@@ -44,29 +44,29 @@
 	}
 
 	@Test
-	void aFullRingTurnsOffersAwayAndCountsThem() throws InterruptedException {
+	void fullQueueRejectsAndCountsOffers() throws InterruptedException {
 		Duty<List<Integer>> duty = start();
-		CountDownLatch held = new CountDownLatch(1);
+		CountDownLatch blocked = new CountDownLatch(1);
 		CountDownLatch release = new CountDownLatch(1);
 		duty.put((s) -> {
-			held.countDown();
-			awaitQuietly(release);
+			blocked.countDown();
+			awaitLatch(release);
 		});
-		held.await();
-		int taken = 0;
+		blocked.await();
+		int accepted = 0;
 		for (int i = 0; i < COMMANDS; i++) {
-			taken += duty.offer((s) -> {
+			accepted += duty.offer((s) -> {
 			}) ? 1 : 0;
 		}
 		release.countDown();
-		assertThat(taken).isAtLeast(CAPACITY);
-		assertThat(duty.turnedAway()).isEqualTo(COMMANDS - taken);
-		assertThat(taken).isLessThan(COMMANDS);
+		assertThat(accepted).isAtLeast(CAPACITY);
+		assertThat(duty.turnedAway()).isEqualTo(COMMANDS - accepted);
+		assertThat(accepted).isLessThan(COMMANDS);
 		this.supervisor.stop();
 	}
 
 	@Test
-	void aDutyThatFailsIsRestartedUntilItFailsTooOften() throws InterruptedException {
+	void restartsFailedDutyUntilFailureLimit() throws InterruptedException {
 		Duty<List<Integer>> duty = start();
 		for (int i = 0; i < 2; i++) {
 			duty.put((s) -> {
@@ -76,14 +76,14 @@
 		CountDownLatch alive = new CountDownLatch(1);
 		duty.put((s) -> alive.countDown());
 		assertThat(alive.await(WAIT_SECONDS, TimeUnit.SECONDS)).isTrue();
-		assertThat(this.gaveUp.get()).isNull();
+		assertThat(this.escalatedFailure.get()).isNull();
 		CountDownLatch after = new CountDownLatch(1);
 		duty.put((s) -> {
 			throw new IllegalStateException("once more");
 		});
 		duty.put((s) -> after.countDown());
 		assertThat(after.await(WAIT_SECONDS, TimeUnit.SECONDS)).isTrue();
-		assertThat(this.gaveUp.get()).hasMessageThat().isEqualTo("once more");
+		assertThat(this.escalatedFailure.get()).hasMessageThat().isEqualTo("once more");
 		this.supervisor.stop();
 	}
 
@@ -92,7 +92,7 @@
 		}));
 	}
 
-	private static void awaitQuietly(CountDownLatch latch) {
+	private static void awaitLatch(CountDownLatch latch) {
 		try {
 			latch.await();
 		}
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/BoundedCallsTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/BoundedCallsTests.java
@@ -17,14 +17,14 @@
  * Tests for {@link BoundedCalls}.
  */
 @Timeout(60)
-class BoundedCallsTests extends LoopbackCalls {
+class BoundedCallsTests extends LoopbackTestSupport {
 
 	private final BlockingQueue<Either<IOException, WholeResponse.Received>> answers = new ArrayBlockingQueue<>(10);
 
 	private final BoundedCalls calls = new BoundedCalls(this.caller, this.io.worker().getIoThread());
 
 	@Test
-	void aCallWithoutAnswerEndsAtItsLimitAndItsConnectionCloses() throws Exception {
+	void unansweredCallTimesOutAndClosesConnection() throws Exception {
 		call(Duration.ofMillis(50));
 		try (Socket accepted = this.server.accept()) {
 			assertThat(this.answers.take().getLeft().getMessage()).contains("did not answer within 50 ms");
@@ -34,7 +34,7 @@
 	}
 
 	@Test
-	void anAnswerInTimeIsPassedOnOnce() throws Exception {
+	void passesTimelyAnswerOnce() throws Exception {
 		call(Duration.ofSeconds(50));
 		try (Socket accepted = this.server.accept()) {
 			accepted.getOutputStream()
@@ -44,8 +44,8 @@
 		assertThat(this.answers).isEmpty();
 	}
 
-	private void call(Duration limit) {
-		this.calls.call(get(), 100, limit, this.answers::add);
+	private void call(Duration timeout) {
+		this.calls.call(get(), 100, timeout, this.answers::add);
 	}
 
 }
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/HttpExchangeTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/HttpExchangeTests.java
@@ -14,24 +14,24 @@
  * Tests for {@link HttpExchange}.
  */
 @Timeout(60)
-class HttpExchangeTests extends LoopbackCalls {
+class HttpExchangeTests extends LoopbackTestSupport {
 
 	@Test
-	void aServerThatWritesNothingHearsOfAReset() throws Exception {
+	void resetReachesServerThatWritesNothing() throws Exception {
 		HttpExchange exchange = call();
 		try (Socket accepted = this.server.accept()) {
 			assertThat(accepted.getInputStream().read()).isEqualTo('G');
-			onThread(exchange::reset);
+			runOnIoThread(exchange::reset);
 			assertThrows(SocketException.class, () -> accepted.getInputStream().readAllBytes());
 		}
 	}
 
 	@Test
-	void aCallThatIsAbandonedClosesItsConnection() throws Exception {
+	void abandonClosesConnection() throws Exception {
 		HttpExchange exchange = call();
 		try (Socket accepted = this.server.accept()) {
 			assertThat(accepted.getInputStream().read()).isEqualTo('G');
-			onThread(exchange::abandon);
+			runOnIoThread(exchange::abandon);
 			assertThat(new String(accepted.getInputStream().readAllBytes())).startsWith("ET / HTTP/1.1");
 		}
 	}
@@ -41,7 +41,7 @@
 		}));
 	}
 
-	private void onThread(Runnable action) throws InterruptedException {
+	private void runOnIoThread(Runnable action) throws InterruptedException {
 		CountDownLatch done = new CountDownLatch(1);
 		this.io.worker().getIoThread().execute(() -> {
 			action.run();
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/LoopbackCalls.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/LoopbackTestSupport.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * A caller and a server's socket on the loopback address, which a test answers itself.
+ * Base class for tests with an HTTP client and a server socket on the loopback address;
+ * the test itself answers the requests.
  */
-abstract class LoopbackCalls {
+abstract class LoopbackTestSupport {
 
 	final IoWorker io = IoWorker.start(1, 1);
 
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/log/LineOutputTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/log/LineOutputTests.java
@@ -9,16 +9,16 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link LineOutput} and {@link LineBudget}.
+ * Tests for {@link LineOutput} and {@link LogRateLimiter}.
  */
 class LineOutputTests {
 
 	private static final int MAX_FLUSHES = 10_000;
 
 	@Test
-	void aStalledOutputHoldsNobodyUpAndItsLossesAreTold() throws InterruptedException {
+	void stalledOutputDoesNotBlockAndReportsDroppedLines() throws InterruptedException {
 		StalledOutput stalled = new StalledOutput();
-		LineOutput output = new LineOutput(stalled, new LineBudget(1e9, 1e9, System.nanoTime()), 4);
+		LineOutput output = new LineOutput(stalled, new LogRateLimiter(1e9, 1e9, System.nanoTime()), 4);
 		output.start();
 		output.offer("first\n", false);
 		stalled.entered.await();
@@ -34,19 +34,19 @@
 	}
 
 	@Test
-	void routineLinesAreDroppedFirst() {
-		LineBudget budget = new LineBudget(10, 10, 0);
+	void dropsRoutineLinesFirst() {
+		LogRateLimiter rateLimiter = new LogRateLimiter(10, 10, 0);
 		int routine = 0;
 		for (int i = 0; i < 20; i++) {
-			routine += budget.tryTake(true, 0) ? 1 : 0;
+			routine += rateLimiter.tryAcquire(true, 0) ? 1 : 0;
 		}
 		int other = 0;
 		for (int i = 0; i < 20; i++) {
-			other += budget.tryTake(false, 0) ? 1 : 0;
+			other += rateLimiter.tryAcquire(false, 0) ? 1 : 0;
 		}
 		assertThat(routine).isEqualTo(5);
 		assertThat(other).isEqualTo(5);
-		assertThat(budget.tryTake(false, 200_000_000L)).isTrue();
+		assertThat(rateLimiter.tryAcquire(false, 200_000_000L)).isTrue();
 	}
 
 	private static void awaitText(LineOutput output, StalledOutput written, String text) {
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * An output that takes nothing until it is released.
+	 * Output that blocks until it is released.
 	 */
 	private static final class StalledOutput extends OutputStream {
 
