--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/Addresses.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/Addresses.java
@@ -9,8 +9,7 @@
 import dev.laneworks.core.document.DocumentObject;
 
 /**
- * Reads network addresses from settings. Hosts must be literal IP addresses, so that no
- * name is resolved.
+ * Reads network addresses from settings. Hosts must be literal IP addresses.
  *
  * @since 0.1
  */
