--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ChangeReach.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ChangeReach.java
@@ -1,27 +1,28 @@
 package dev.laneworks.core.gossip;
 
 /**
- * Who is to hear of a change of work at a target before the next heartbeat.
+ * Set of entries that receive a change of work at a target before the next heartbeat.
  *
  * @since 0.2
  */
 public enum ChangeReach {
 
-	/** Some entries near by, together with other changes of the moment. */
+	/** Some near entries, batched with other recent changes. */
 	NEAR,
 
 	/**
-	 * Some entries near by and all that work at the target, at once: they wait for it.
+	 * Some near entries and all entries with work at the target, immediately, because
+	 * they wait for the change.
 	 */
 	CONCERNED,
 
 	/**
-	 * All entries where they are not too many and otherwise some of all, together with
-	 * other changes of the moment: any of them may be about to use the same target.
+	 * All entries in a small fleet and otherwise a sample, batched with other recent
+	 * changes, because any of them may be about to use the same target.
 	 */
 	WIDE,
 
-	/** All entries, together with other changes of the moment. */
+	/** All entries, batched with other recent changes. */
 	ALL
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/EntryNews.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/EntryNews.java
@@ -4,20 +4,22 @@
 import java.util.Objects;
 
 /**
- * What one entry tells others of its work at targets, as it was when this was made.
+ * Load update of one entry: its work at targets and what it knows of other entries.
  *
- * @param instance the entry's name
- * @param dataCentre the data centre that the entry is in
- * @param incarnation a random number that differs for each of its processes
- * @param sequence the number of this news, rising within an incarnation
- * @param ending whether the entry ends, so that nothing more comes from it
- * @param partial whether the news tell of the targets named alone; if not, the entry has
- * no work at any other
- * @param againMillis the time within which the receiver is told again, in milliseconds
- * @param work its work at targets
- * @param spending what it spent of the retry budget in the window, by service
- * @param needs what targets said that they need, to it or to one that it heard it from
- * @param peers the addresses of other entries that it has heard of lately
+ * @param instance the name of the entry
+ * @param dataCentre the data centre of the entry
+ * @param incarnation a random number that identifies the process
+ * @param sequence the number of the update, increasing within an incarnation
+ * @param ending whether the entry shuts down, so that no further update follows
+ * @param partial whether the update covers only the targets that it names; if {@code
+ * false}, the entry has no work at any other target
+ * @param againMillis the longest time until the next update to the same receiver, in
+ * milliseconds
+ * @param work the work of the entry at targets
+ * @param spending the use of the retry budget in the window, by service
+ * @param needs the back-pressure signals that the entry received from targets or other
+ * entries
+ * @param peers the addresses of other entries that it received updates from recently
  * @since 0.2
  */
 public record EntryNews(String instance, String dataCentre, long incarnation, long sequence, boolean ending,
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -19,27 +19,26 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * Tells other entries of this one's work at targets and of what targets say that they
- * need, and sums up theirs.
- * <p>
- * Every heartbeat carries all of an entry's work, so that lost or late news are made good
- * by the next; in between, changes are told at once to the entries near by, which use the
- * same targets, and moves to those that work at the same target. Entries find each other
- * through a few seeds and pass on the addresses that they have heard from. An entry that
- * falls silent counts as gone, with its work: its connections to targets end with it.
- * Nothing here is shared state: each entry's word is its own, ages, and serves as a hint
- * for placing work. Not thread-safe.
+ * Exchanges load updates and back-pressure signals with other entries and aggregates
+ * theirs.
+ *
+ * Each heartbeat carries all work of an entry, so that it makes up for lost and late
+ * updates. Between heartbeats, changes are sent to near entries, which use the same
+ * targets, and moves of generations to entries with work at the same target. Entries
+ * discover each other through a few seeds and pass on the addresses that they received
+ * updates from. An entry that falls silent is removed together with its work, since its
+ * connections to targets close with it. The aggregated work is eventually consistent and
+ * serves only as a hint for placement. Not thread-safe.
  *
  * @since 0.2
  */
 public final class Gossip {
 
 	/**
-	 * For how long an entry's copies away from a target are waited for, in milliseconds;
-	 * longer than a whole copy takes between data centres over a free link. One that
-	 * waits for its destination's link would hold up the others until their engine ends.
+	 * The longest time to wait for the copies of one entry away from a target, in
+	 * milliseconds. Keeps a slow link of one entry from blocking the copies of others.
 	 */
-	private static final long TURN_BOUND_MILLIS = 500;
+	private static final long MAX_TURN_MILLIS = 500;
 
 	private final GossipSettings settings;
 
@@ -57,40 +56,42 @@
 
 	private final AuditSink audit;
 
-	private final KnownEntries known = new KnownEntries();
+	private final PeerTable known = new PeerTable();
 
-	private final Audience audience;
+	private final ReceiverSelector selector;
 
-	private final OwnNews ownNews;
+	private final LoadUpdateWriter updates;
 
-	/** The targets at which the own work changed since changes were told last. */
-	private final Set<TargetRun> changed = new HashSet<>();
+	/** The targets at which the work of this entry changed since the last update. */
+	private final Set<TargetRun> changedTargets = new HashSet<>();
 
-	/** The widest reach of a change that was not told yet. */
-	private ChangeReach reach = ChangeReach.NEAR;
+	/** The widest reach of a change that was not sent yet. */
+	private ChangeReach pendingReach = ChangeReach.NEAR;
 
-	private List<ServiceSpending> spendingTold = List.of();
+	private List<ServiceSpending> lastSentSpending = List.of();
 
-	private int beats;
+	private int heartbeats;
 
-	private long toldAt = Long.MIN_VALUE / 2;
+	private long lastSentAt = Long.MIN_VALUE / 2;
 
-	private long tellDue = Long.MAX_VALUE;
+	private long nextSendAt = Long.MAX_VALUE;
 
-	/** Whether others are told at short intervals while they wait for this entry. */
-	private boolean tellsOfMoving;
+	/**
+	 * Whether updates are sent at short intervals while other entries wait for this one.
+	 */
+	private boolean announcesMoves;
 
 	/**
-	 * Create an entry's part of the gossip.
-	 * @param settings its times and bounds
-	 * @param instance the entry's name
-	 * @param dataCentre the data centre that it is in
-	 * @param ownAddress where it hears news, {@code IP:PORT}
+	 * Create the gossip of an entry.
+	 * @param settings the intervals and limits
+	 * @param instance the name of the entry
+	 * @param dataCentre the data centre of the entry
+	 * @param ownAddress the address that receives updates, {@code IP:PORT}
 	 * @param seeds addresses of entries that may exist
-	 * @param outputs sends news and tells of the own work
-	 * @param timers what is due later
-	 * @param random the source of the incarnation and of choices among peers
-	 * @param audit hears of entries that come and go
+	 * @param outputs sends updates and supplies the work of this entry
+	 * @param timers schedules heartbeats and updates
+	 * @param random the source of the incarnation and of random choices among peers
+	 * @param audit receives an event for each entry that is discovered or removed
 	 */
 	public Gossip(GossipSettings settings, String instance, String dataCentre, String ownAddress, Set<String> seeds,
 			GossipOutputs outputs, Timers timers, RandomGenerator random, AuditSink audit) {
@@ -102,91 +103,91 @@
 		this.outputs = outputs;
 		this.timers = timers;
 		this.audit = audit;
-		this.ownNews = new OwnNews(instance, dataCentre, random.nextLong(), outputs);
-		this.audience = new Audience(settings, dataCentre, this.known, random);
+		this.updates = new LoadUpdateWriter(instance, dataCentre, random.nextLong(), outputs);
+		this.selector = new ReceiverSelector(settings, dataCentre, this.known, random);
 	}
 
 	/**
-	 * Start to tell and to look for entries that fall silent.
-	 * @param now the time in milliseconds
+	 * Start to send heartbeats and to remove silent entries.
+	 * @param now the current time in milliseconds
 	 */
 	public void start(long now) {
 		heartbeat(now);
 	}
 
 	/**
-	 * Tell all entries that this one ends, and no more after it.
-	 * @param now the time in milliseconds
+	 * Announce to all entries that this one shuts down, and send no further update.
+	 * @param now the current time in milliseconds
 	 */
 	public void end(long now) {
-		this.ownNews.end();
-		tellAllWork(this.known.addresses(), now);
+		this.updates.end();
+		sendAllWork(this.known.addresses(), now);
 	}
 
 	/**
-	 * Take that the own work at a target changed.
-	 * @param target the run of the target
-	 * @param heardBy who is to hear of it
-	 * @param now the time in milliseconds
+	 * Record that the work of this entry at a target changed, and schedule an update.
+	 * @param target the incarnation of the target
+	 * @param requiredReach the entries that must receive the change
+	 * @param now the current time in milliseconds
 	 */
-	public void changed(TargetRun target, ChangeReach heardBy, long now) {
-		if (this.ownNews.isEnding()) {
+	public void changed(TargetRun target, ChangeReach requiredReach, long now) {
+		if (this.updates.isEnding()) {
 			return;
 		}
-		this.changed.add(target);
-		boolean isUrgent = heardBy == ChangeReach.CONCERNED;
-		if (isUrgent && !this.tellsOfMoving) {
-			this.tellsOfMoving = true;
-			this.timers.at(now + this.settings.movingMillis(), this::tellOfMoving);
+		this.changedTargets.add(target);
+		boolean isUrgent = requiredReach == ChangeReach.CONCERNED;
+		if (isUrgent && !this.announcesMoves) {
+			this.announcesMoves = true;
+			this.timers.at(now + this.settings.movingMillis(), this::announceMoves);
 		}
-		this.reach = (heardBy.compareTo(this.reach) > 0) ? heardBy : this.reach;
-		long due = isUrgent ? now : Math.max(now, this.toldAt + this.settings.gapMillis());
-		if (due < this.tellDue) {
-			this.tellDue = due;
-			this.timers.at(due, this::tellChanges);
+		this.pendingReach = (requiredReach.compareTo(this.pendingReach) > 0) ? requiredReach : this.pendingReach;
+		long due = isUrgent ? now : Math.max(now, this.lastSentAt + this.settings.gapMillis());
+		if (due < this.nextSendAt) {
+			this.nextSendAt = due;
+			this.timers.at(due, this::sendChanges);
 		}
 	}
 
 	/**
-	 * Take another entry's news.
-	 * @param from the address that they came from
-	 * @param news the news
-	 * @param now the time in milliseconds
+	 * Handle the update of another entry.
+	 * @param from the address of the sender
+	 * @param news the update
+	 * @param now the current time in milliseconds
 	 */
 	public void received(String from, EntryNews news, long now) {
-		Optional<Peer> former = this.known.at(from);
-		if (this.ownNews.isAuthorOf(news) || former.filter((p) -> !p.isReplacedBy(news)).isPresent()) {
+		Optional<Peer> knownPeer = this.known.at(from);
+		if (this.updates.isFromThisProcess(news) || knownPeer.filter((p) -> !p.isReplacedBy(news)).isPresent()) {
 			return;
 		}
 		if (news.ending()) {
-			forget(from, "it ends");
+			remove(from, "it shuts down");
 			return;
 		}
-		this.known.take(from, news, now);
+		this.known.apply(from, news, now);
 		news.work().stream().filter(WorkAtTarget::leaving).forEach((w) -> this.outputs.heardLeaving(w.target()));
 		this.outputs.heardNeeds(news.needs());
-		if (former.isEmpty()) {
-			this.audit.record(AuditEvent.of(AuditKind.MEMBERSHIP, news.instance(), "", "entry heard at " + from));
-			tellAllWork(List.of(from), now);
+		if (knownPeer.isEmpty()) {
+			this.audit.record(AuditEvent.of(AuditKind.MEMBERSHIP, news.instance(), "", "entry discovered at " + from));
+			sendAllWork(List.of(from), now);
 		}
-		introduce(news.peers(), now);
+		contactUnknown(news.peers(), now);
 	}
 
 	/**
-	 * Return the work that other entries have at a target.
-	 * @param target the run of the target
-	 * @return the sum; empty while no other entry is known, and zero if they have none
+	 * Return the total work of other entries at a target.
+	 * @param target the incarnation of the target
+	 * @return the sum, which may be zero; empty while no other entry is known
 	 */
 	public Optional<WorkAtTarget> others(TargetRun target) {
 		return (this.known.size() > 0) ? Optional.of(this.known.workAt(target)) : Optional.empty();
 	}
 
 	/**
-	 * Return what other entries spent of the retry budget, those that went lately
-	 * included.
-	 * @param service the service's name
-	 * @param windowMillis the budget's window, in milliseconds
-	 * @param now the time in milliseconds
+	 * Return the total use of the retry budget by other entries, including those that
+	 * left within the window.
+	 * @param service the name of the service
+	 * @param windowMillis the window of the budget, in milliseconds
+	 * @param now the current time in milliseconds
 	 * @return the sum; empty while no other entry is known
 	 */
 	public Optional<ServiceSpending> spendingOfOthers(String service, long windowMillis, long now) {
@@ -194,31 +195,32 @@
 	}
 
 	/**
-	 * Return whether this entry may copy a generation away from a target now.
-	 * <p>
-	 * A copy under way is not disturbed; otherwise the entries that have generations to
-	 * move go by rank. Every entry ranks the entries alike for a target, and otherwise
-	 * for another target. Entries hear of a leaving at about the same time; until their
-	 * news have had time to arrive, only the first of all may go. An entry that has been
-	 * silent for a few tellings is paused or gone, and one whose copies take long waits
-	 * for some other link; others don't wait for them.
-	 * @param target the run of the target
-	 * @param sinceNotice how long ago the target's leaving was heard, in milliseconds
-	 * @param now the time in milliseconds
-	 * @return whether it is this entry's turn
+	 * Determine whether this entry may copy a generation away from a target now.
+	 *
+	 * No copy starts while another one is in progress. Otherwise, entries with
+	 * generations to move take turns by a rank that all of them compute alike and that
+	 * differs by target. Until the updates of other entries can have arrived, only the
+	 * highest-ranked entry may start. Entries that are silent or whose copies take too
+	 * long lose their turn.
+	 * @param target the incarnation of the target
+	 * @param sinceNoticeMillis the time since the target was found to be draining, in
+	 * milliseconds
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if it is the turn of this entry
 	 */
-	public boolean isFirstToMove(TargetRun target, long sinceNotice, long now) {
+	public boolean isFirstToMove(TargetRun target, long sinceNoticeMillis, long now) {
 		long key = Rendezvous.hash(target.id());
 		long own = Rendezvous.weight(key, this.instance);
 		for (Peer peer : this.known.all().values()) {
-			Optional<WorkAtTarget> work = peer.at(target);
+			Optional<WorkAtTarget> work = peer.workAt(target);
 			boolean hasClaim = work.filter((w) -> w.copying() || w.toMove() > 0).isPresent();
 			if (hasClaim && hasLostTurn(peer, target, now)) {
 				continue;
 			}
 			boolean isBefore = Long.compareUnsigned(Rendezvous.weight(key, peer.news().instance()), own) > 0;
-			if (work.filter(WorkAtTarget::copying).isPresent() || (isBefore
-					&& (sinceNotice < this.settings.newsMillis() || work.filter((w) -> w.toMove() > 0).isPresent()))) {
+			if (work.filter(WorkAtTarget::copying).isPresent()
+					|| (isBefore && (sinceNoticeMillis < this.settings.newsMillis()
+							|| work.filter((w) -> w.toMove() > 0).isPresent()))) {
 				return false;
 			}
 		}
@@ -226,13 +228,13 @@
 	}
 
 	private boolean hasLostTurn(Peer peer, TargetRun target, long now) {
-		return peer.silence(now) > this.settings.turnMillis() || peer.copyingFor(target, now) > TURN_BOUND_MILLIS;
+		return peer.silentMillis(now) > this.settings.turnMillis() || peer.copyingFor(target, now) > MAX_TURN_MILLIS;
 	}
 
 	/**
-	 * Return how many other entries rank before this one for a target. Entries that know
-	 * each other rank themselves alike.
-	 * @param target the target's id
+	 * Return the number of other entries that rank before this one for a target. Entries
+	 * that know each other compute the same ranking.
+	 * @param target the id of the target
 	 * @return the count
 	 */
 	public int before(String target) {
@@ -246,116 +248,119 @@
 	}
 
 	/**
-	 * Return whether any other entry copies a generation from or to a target now.
-	 * @param target the run of the target
-	 * @return whether a copy is under way there, as far as is known
+	 * Determine whether another entry is copying a generation from or to a target.
+	 * @param target the incarnation of the target
+	 * @return {@code true} if a copy is in progress according to the latest updates
 	 */
 	public boolean isCopying(TargetRun target) {
 		return this.known.workAt(target).copying();
 	}
 
 	/**
-	 * Return where the entries near by hear news: all where there are few, and otherwise
-	 * those of this data centre.
-	 * @return their addresses, as far as they are known
+	 * Return the addresses of near entries: all entries in a small fleet, and otherwise
+	 * those of the same data centre.
+	 * @return the addresses of the known entries
 	 */
 	public List<String> nearBy() {
-		return this.audience.near();
+		return this.selector.near();
 	}
 
 	/**
-	 * Return where the other entries of this data centre hear news.
-	 * @return their addresses, as far as they are known
+	 * Return the addresses of the other entries of the same data centre.
+	 * @return the addresses of the known entries
 	 */
 	public List<String> sameDataCentre() {
-		return this.audience.sameDataCentre();
+		return this.selector.sameDataCentre();
 	}
 
 	/**
-	 * Return whether it is up to this entry to ask the targets of a data centre: to the
-	 * first of its entries that is awake, and where it has no entry to the first of all.
-	 * @param place the data centre of the targets
-	 * @param rank ranks an entry, given a data centre and its name; compared as unsigned
-	 * @param now the time in milliseconds
-	 * @return {@code false} if another entry asks them, as far as is known
+	 * Determine whether this entry probes the targets of a data centre. That is the task
+	 * of the highest-ranked live entry there and, for a data centre without an entry, of
+	 * the highest-ranked entry of all.
+	 * @param targetDataCentre the data centre of the targets
+	 * @param rank computes the rank of an entry from a data centre and its name; ranks
+	 * are compared as unsigned
+	 * @param now the current time in milliseconds
+	 * @return {@code false} if another known entry probes them
 	 */
-	public boolean asksIn(String place, ToLongBiFunction<String, String> rank, long now) {
-		List<Peer> there = this.known.all().values().stream().filter((p) -> isIn(place, p)).toList();
-		if (place.equals(this.dataCentre)) {
+	public boolean asksIn(String targetDataCentre, ToLongBiFunction<String, String> rank, long now) {
+		List<Peer> local = this.known.all().values().stream().filter((p) -> isIn(targetDataCentre, p)).toList();
+		if (targetDataCentre.equals(this.dataCentre)) {
 			long awake = this.settings.heartbeatMillis() + this.settings.turnMillis();
-			return isFirst(place, there.stream().filter((p) -> p.silence(now) <= awake).toList(), rank);
+			return isFirst(targetDataCentre, local.stream().filter((p) -> p.silentMillis(now) <= awake).toList(), rank);
 		}
-		return there.isEmpty() && isFirst(place, this.known.all().values(), rank);
+		return local.isEmpty() && isFirst(targetDataCentre, this.known.all().values(), rank);
 	}
 
-	private static boolean isIn(String place, Peer peer) {
-		return peer.news().dataCentre().equals(place);
+	private static boolean isIn(String targetDataCentre, Peer peer) {
+		return peer.news().dataCentre().equals(targetDataCentre);
 	}
 
-	private boolean isFirst(String place, Collection<Peer> others, ToLongBiFunction<String, String> rank) {
-		long own = rank.applyAsLong(place, this.instance);
+	private boolean isFirst(String targetDataCentre, Collection<Peer> others, ToLongBiFunction<String, String> rank) {
+		long own = rank.applyAsLong(targetDataCentre, this.instance);
 		return others.stream()
-			.noneMatch((p) -> Long.compareUnsigned(rank.applyAsLong(place, p.news().instance()), own) > 0);
+			.noneMatch((p) -> Long.compareUnsigned(rank.applyAsLong(targetDataCentre, p.news().instance()), own) > 0);
 	}
 
 	/**
-	 * Return where the first entries of each other data centre hear news.
-	 * @param count how many of each
-	 * @param rank ranks an entry, given its data centre and name; compared as unsigned
-	 * @return their addresses, as far as they are known
+	 * Return the addresses of the highest-ranked entries of each other data centre.
+	 * @param count the number of entries for each data centre
+	 * @param rank computes the rank of an entry from its data centre and name; ranks are
+	 * compared as unsigned
+	 * @return the addresses of the known entries
 	 */
 	public List<String> firstOfOtherDataCentres(int count, ToLongBiFunction<String, String> rank) {
-		return this.audience.firstOfOthers(count, rank);
+		return this.selector.firstOfOthers(count, rank);
 	}
 
 	/**
-	 * Return where all other entries hear news.
-	 * @return their addresses, as far as they are known
+	 * Return the addresses of all other entries.
+	 * @return the addresses of the known entries
 	 */
 	public List<String> addresses() {
 		return this.known.addresses();
 	}
 
 	/**
-	 * Return how many other entries are known.
-	 * @return the count
+	 * Return the number of other entries.
+	 * @return the count of known entries
 	 */
 	public int peers() {
 		return this.known.size();
 	}
 
 	private void heartbeat(long now) {
-		if (this.ownNews.isEnding()) {
+		if (this.updates.isEnding()) {
 			return;
 		}
-		forgetSilent(now);
-		this.beats++;
+		removeSilent(now);
+		this.heartbeats++;
 		List<ServiceSpending> spending = this.outputs.ownSpending();
-		boolean hasSpent = !spending.equals(this.spendingTold);
-		this.spendingTold = spending;
-		List<String> near = nearAndSeeds();
-		List<String> distant = hasSpent ? this.audience.distant() : this.audience.distantAt(this.beats);
-		tellAllWork(near, now);
+		boolean hasSpent = !spending.equals(this.lastSentSpending);
+		this.lastSentSpending = spending;
+		List<String> near = nearAndUnknownSeeds();
+		List<String> distant = hasSpent ? this.selector.distant() : this.selector.distantAt(this.heartbeats);
+		sendAllWork(near, now);
 		send(distant, allWork(this.settings.heartbeatMillis() * this.settings.distantBeats()), now);
 		this.timers.at(now + this.settings.heartbeatMillis(), this::heartbeat);
 	}
 
-	private void forgetSilent(long now) {
+	private void removeSilent(long now) {
 		for (Map.Entry<String, Peer> peer : List.copyOf(this.known.all().entrySet())) {
 			if (peer.getValue().isSilent(now)) {
-				forget(peer.getKey(), "silent for " + peer.getValue().silence(now) + " ms");
+				remove(peer.getKey(), "silent for " + peer.getValue().silentMillis(now) + " ms");
 			}
 		}
 	}
 
-	private void forget(String address, String cause) {
+	private void remove(String address, String cause) {
 		this.known.remove(address)
 			.ifPresent((p) -> this.audit
 				.record(AuditEvent.of(AuditKind.MEMBERSHIP, p.news().instance(), "", "entry gone: " + cause)));
 	}
 
-	private List<String> nearAndSeeds() {
-		List<String> receivers = new ArrayList<>(this.audience.near());
+	private List<String> nearAndUnknownSeeds() {
+		List<String> receivers = new ArrayList<>(this.selector.near());
 		this.seeds.stream().filter(this::isUnknown).forEach(receivers::add);
 		return receivers;
 	}
@@ -364,62 +369,62 @@
 		return !this.known.contains(address) && !address.equals(this.ownAddress);
 	}
 
-	private void tellChanges(long now) {
-		if (this.tellDue > now || this.ownNews.isEnding()) {
+	private void sendChanges(long now) {
+		if (this.nextSendAt > now || this.updates.isEnding()) {
 			return;
 		}
-		this.tellDue = Long.MAX_VALUE;
-		Set<TargetRun> told = Set.copyOf(this.changed);
-		send(receivers(told), workAt(told), now);
-		this.changed.clear();
-		this.reach = ChangeReach.NEAR;
-	}
-
-	private Collection<String> receivers(Set<TargetRun> told) {
-		return switch (this.reach) {
-			case NEAR -> this.audience.someNear();
-			case CONCERNED -> this.audience.concernedBy(told);
-			case WIDE -> this.audience.wide(told);
+		this.nextSendAt = Long.MAX_VALUE;
+		Set<TargetRun> targets = Set.copyOf(this.changedTargets);
+		send(receivers(targets), workAt(targets), now);
+		this.changedTargets.clear();
+		this.pendingReach = ChangeReach.NEAR;
+	}
+
+	private Collection<String> receivers(Set<TargetRun> targets) {
+		return switch (this.pendingReach) {
+			case NEAR -> this.selector.sampleNear();
+			case CONCERNED -> this.selector.concernedBy(targets);
+			case WIDE -> this.selector.wide(targets);
 			case ALL -> this.known.addresses();
 		};
 	}
 
-	// Tells others that this entry is awake while they wait for its copies.
-	private void tellOfMoving(long now) {
+	// Keeps this entry from losing its turn while other entries wait for its copies.
+	private void announceMoves(long now) {
 		Set<TargetRun> moving = this.outputs.ownWork()
 			.stream()
 			.filter((w) -> w.copying() || w.toMove() > 0)
 			.map(WorkAtTarget::target)
 			.collect(Collectors.toSet());
-		this.tellsOfMoving = !moving.isEmpty() && !this.ownNews.isEnding();
-		if (this.tellsOfMoving) {
-			send(this.audience.concernedBy(moving), workAt(moving), now);
-			this.timers.at(now + this.settings.movingMillis(), this::tellOfMoving);
+		this.announcesMoves = !moving.isEmpty() && !this.updates.isEnding();
+		if (this.announcesMoves) {
+			send(this.selector.concernedBy(moving), workAt(moving), now);
+			this.timers.at(now + this.settings.movingMillis(), this::announceMoves);
 		}
 	}
 
-	private void introduce(List<String> addresses, long now) {
+	private void contactUnknown(List<String> addresses, long now) {
 		for (String address : addresses) {
 			if (isUnknown(address)) {
-				tellAllWork(List.of(address), now);
+				sendAllWork(List.of(address), now);
 			}
 		}
 	}
 
-	private void tellAllWork(List<String> addresses, long now) {
+	private void sendAllWork(List<String> addresses, long now) {
 		send(addresses, allWork(this.settings.heartbeatMillis()), now);
 	}
 
 	private EntryNews allWork(long againMillis) {
-		return this.ownNews.ofAllWork(againMillis, this.audience.toIntroduce());
+		return this.updates.ofAllWork(againMillis, this.selector.peersToAdvertise());
 	}
 
 	private EntryNews workAt(Set<TargetRun> targets) {
-		return this.ownNews.ofWorkAt(targets, this.settings.heartbeatMillis());
+		return this.updates.ofWorkAt(targets, this.settings.heartbeatMillis());
 	}
 
 	private void send(Collection<String> addresses, EntryNews news, long now) {
-		this.toldAt = now;
+		this.lastSentAt = now;
 		addresses.forEach((a) -> this.outputs.send(a, news));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
@@ -5,46 +5,46 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * What {@link Gossip} needs from its process.
+ * Callbacks through which {@link Gossip} sends updates and reads the state of its entry.
  *
  * @since 0.2
  */
 public interface GossipOutputs {
 
 	/**
-	 * Send news to an entry; it may be lost on its way.
-	 * @param address the entry's address, {@code IP:PORT}
-	 * @param news the news
+	 * Send an update to an entry, without a guarantee of delivery.
+	 * @param address the address of the entry, {@code IP:PORT}
+	 * @param news the update
 	 */
 	void send(String address, EntryNews news);
 
 	/**
-	 * Take that a target said to another entry that it is leaving.
-	 * @param target the run of the target that said so
+	 * Handle a report of another entry that a target is draining.
+	 * @param target the incarnation of the target
 	 */
 	void heardLeaving(TargetRun target);
 
 	/**
-	 * Take what targets said that they need, as another entry tells.
-	 * @param news what they said to it, or to one that it heard it from
+	 * Handle back-pressure signals that another entry passes on.
+	 * @param news the signals that it received from targets or from other entries
 	 */
 	void heardNeeds(NeedsNews news);
 
 	/**
-	 * Return what targets said that they need.
-	 * @return what is known of that, heard from others included
+	 * Return the back-pressure signals of targets to pass on.
+	 * @return the latest signals, including those from other entries
 	 */
 	NeedsNews needs();
 
 	/**
-	 * Return this entry's own work.
+	 * Return the current work of this entry.
 	 * @return its work at each target where it has any
 	 */
 	List<WorkAtTarget> ownWork();
 
 	/**
-	 * Return what this entry spent of the retry budget in the window.
-	 * @return its spending on each service that it saw requests for
+	 * Return the use of the retry budget by this entry within the window.
+	 * @return the use for each service that it received requests for
 	 */
 	List<ServiceSpending> ownSpending();
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/LimitNews.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/LimitNews.java
@@ -6,12 +6,12 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * What a target said last of the requests a second that it takes from all entries
- * together, as one entry tells others.
+ * Latest rate limit of a target, as one entry passes it on to others.
  *
- * @param target the run of the target that said it
- * @param perSecond the limit, empty where it said that there is none any more
- * @param ageMillis how long ago it said so, in milliseconds
+ * @param target the incarnation of the target
+ * @param perSecond the requests per second that the target accepts from all entries
+ * together; empty if it lifted its limit
+ * @param ageMillis the time since the target reported it, in milliseconds
  * @since 0.4
  */
 public record LimitNews(TargetRun target, OptionalDouble perSecond, long ageMillis) {
--- /dev/null
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
@@ -0,0 +1,88 @@
+package dev.laneworks.core.gossip;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+import dev.laneworks.core.directory.TargetRun;
+
+/**
+ * Builds the load updates of this entry and numbers them.
+ */
+final class LoadUpdateWriter {
+
+	private final String instance;
+
+	private final String dataCentre;
+
+	private final long incarnation;
+
+	private final GossipOutputs outputs;
+
+	private long sequence;
+
+	private boolean ending;
+
+	/**
+	 * Create a writer.
+	 * @param instance the name of the entry
+	 * @param dataCentre the data centre of the entry
+	 * @param incarnation a random number that identifies the process
+	 * @param outputs supplies the work of the entry
+	 */
+	LoadUpdateWriter(String instance, String dataCentre, long incarnation, GossipOutputs outputs) {
+		this.instance = instance;
+		this.dataCentre = dataCentre;
+		this.incarnation = incarnation;
+		this.outputs = outputs;
+	}
+
+	// Marks all further updates as those of an entry that shuts down.
+	void end() {
+		this.ending = true;
+	}
+
+	boolean isEnding() {
+		return this.ending;
+	}
+
+	boolean isFromThisProcess(EntryNews news) {
+		return news.incarnation() == this.incarnation;
+	}
+
+	/**
+	 * Build an update with the work at all targets.
+	 * @param againMillis the longest time until the next update to the same receivers, in
+	 * milliseconds
+	 * @param peers the addresses of other entries to pass on
+	 * @return the update
+	 */
+	EntryNews ofAllWork(long againMillis, List<String> peers) {
+		return build(false, againMillis, this.outputs.ownWork(), peers);
+	}
+
+	/**
+	 * Build an update with the work at some targets only.
+	 * @param targets the incarnations of the targets
+	 * @param againMillis the longest time until the next update to the same receivers, in
+	 * milliseconds
+	 * @return the update, which lists targets without work as well
+	 */
+	EntryNews ofWorkAt(Set<TargetRun> targets, long againMillis) {
+		Map<TargetRun, WorkAtTarget> work = new HashMap<>();
+		targets.forEach((t) -> work.put(t, WorkAtTarget.none(t)));
+		this.outputs.ownWork()
+			.stream()
+			.filter((w) -> targets.contains(w.target()))
+			.forEach((w) -> work.put(w.target(), w));
+		return build(true, againMillis, List.copyOf(work.values()), List.of());
+	}
+
+	private EntryNews build(boolean isPartial, long againMillis, List<WorkAtTarget> work, List<String> peers) {
+		this.sequence++;
+		return new EntryNews(this.instance, this.dataCentre, this.incarnation, this.sequence, this.ending, isPartial,
+				againMillis, work, this.outputs.ownSpending(), this.outputs.needs(), peers);
+	}
+
+}
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/NeedsNews.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/NeedsNews.java
@@ -5,15 +5,15 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * What targets said in their answers that they need, as one entry tells others.
+ * Back-pressure signals of targets, as one entry passes them on to others.
  *
- * @param limits what they said last of the requests that they take
- * @param leaving the runs of targets that said that they are leaving
+ * @param limits the latest rate limits
+ * @param leaving the incarnations of targets that are draining
  * @since 0.4
  */
 public record NeedsNews(List<LimitNews> limits, List<TargetRun> leaving) {
 
-	/** What is told where no target needs anything. */
+	/** Update without any back-pressure signal. */
 	public static final NeedsNews NONE = new NeedsNews(List.of(), List.of());
 
 	public NeedsNews {
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
@@ -10,55 +10,55 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * What is known of another entry.
- * <p>
- * Nothing is known before news were taken.
+ * Latest state of another entry, as received in its updates.
+ *
+ * At least one update must be applied before any other method is called.
  */
 final class Peer {
 
-	/** After how many tellings missed in a row an entry counts as gone. */
-	private static final int TELLINGS_MISSED = 3;
+	/** The number of missed heartbeats in a row after which an entry is removed. */
+	private static final int MAX_MISSED_HEARTBEATS = 3;
 
-	/** How much later than told a telling may come, in milliseconds. */
-	private static final long LATE_MILLIS = 200;
+	/** The tolerated delay of a heartbeat, in milliseconds. */
+	private static final long HEARTBEAT_TOLERANCE_MILLIS = 200;
 
 	private final Map<TargetRun, WorkAtTarget> work = new HashMap<>();
 
-	/** Since when it has copied from or to a target, as told without a break. */
+	/** The time since which consecutive updates report a copy from or to a target. */
 	private final Map<TargetRun, Long> copyingSince = new HashMap<>();
 
 	private EntryNews news;
 
-	private long heardAt;
+	private long receivedAt;
 
 	private long againMillis;
 
 	/**
-	 * Take the entry's news, which are newer than all before.
-	 * @param fresh the news
-	 * @param now the time in milliseconds
-	 * @return the runs of the targets at which its work may have changed
+	 * Apply an update, which must be newer than all before.
+	 * @param update the update
+	 * @param now the current time in milliseconds
+	 * @return the incarnations of the targets at which the work may have changed
 	 */
-	Set<TargetRun> take(EntryNews fresh, long now) {
-		Set<TargetRun> touched = new HashSet<>();
-		if (!fresh.partial()) {
-			touched.addAll(this.work.keySet());
+	Set<TargetRun> apply(EntryNews update, long now) {
+		Set<TargetRun> affected = new HashSet<>();
+		if (!update.partial()) {
+			affected.addAll(this.work.keySet());
 			this.work.clear();
-			this.againMillis = fresh.againMillis();
+			this.againMillis = update.againMillis();
 		}
-		for (WorkAtTarget told : fresh.work()) {
-			touched.add(told.target());
-			this.work.put(told.target(), told);
+		for (WorkAtTarget reported : update.work()) {
+			affected.add(reported.target());
+			this.work.put(reported.target(), reported);
 		}
-		touched.forEach((t) -> followCopying(t, now));
-		this.news = fresh;
-		this.heardAt = now;
-		this.againMillis = Math.max(this.againMillis, fresh.againMillis());
-		return touched;
+		affected.forEach((t) -> trackCopying(t, now));
+		this.news = update;
+		this.receivedAt = now;
+		this.againMillis = Math.max(this.againMillis, update.againMillis());
+		return affected;
 	}
 
-	private void followCopying(TargetRun target, long now) {
-		if (at(target).filter(WorkAtTarget::copying).isPresent()) {
+	private void trackCopying(TargetRun target, long now) {
+		if (workAt(target).filter(WorkAtTarget::copying).isPresent()) {
 			this.copyingSince.putIfAbsent(target, now);
 		}
 		else {
@@ -66,54 +66,52 @@
 		}
 	}
 
-	// For how long it has copied from or to a target, in milliseconds; 0 if it does not.
+	// The duration of its copies from or to a target in milliseconds; 0 without a copy.
 	long copyingFor(TargetRun target, long now) {
 		return now - this.copyingSince.getOrDefault(target, now);
 	}
 
 	/**
-	 * Return whether news may replace those taken last.
-	 * @param other the news
-	 * @return {@code false} if they are of the same process and not newer
+	 * Determine whether an update may replace the latest one.
+	 * @param other the update
+	 * @return {@code false} if it comes from the same process and is not newer
 	 */
 	boolean isReplacedBy(EntryNews other) {
 		return isOtherProcess(other) || this.news.sequence() < other.sequence();
 	}
 
 	/**
-	 * Return whether news come from another process than those taken last.
-	 * @param other the news
-	 * @return whether the entry was started anew
+	 * Determine whether an update comes from another process than the latest one.
+	 * @param other the update
+	 * @return {@code true} if the entry was restarted
 	 */
 	boolean isOtherProcess(EntryNews other) {
 		return this.news.incarnation() != other.incarnation();
 	}
 
-	// Whether too many tellings in a row are missing.
 	boolean isSilent(long now) {
-		return silence(now) > TELLINGS_MISSED * this.againMillis + LATE_MILLIS;
+		return silentMillis(now) > MAX_MISSED_HEARTBEATS * this.againMillis + HEARTBEAT_TOLERANCE_MILLIS;
 	}
 
-	// How long ago it was heard last, in milliseconds.
-	long silence(long now) {
-		return now - this.heardAt;
+	// The time since the latest update, in milliseconds.
+	long silentMillis(long now) {
+		return now - this.receivedAt;
 	}
 
-	// The news taken last, be they partial or not.
+	// The latest update, complete or partial.
 	EntryNews news() {
 		return this.news;
 	}
 
-	// Its work at a target, as told last; empty if it told of none.
-	Optional<WorkAtTarget> at(TargetRun target) {
+	// Its latest reported work at a target; empty if it reported none.
+	Optional<WorkAtTarget> workAt(TargetRun target) {
 		return Optional.ofNullable(this.work.get(target));
 	}
 
 	boolean worksAtAnyOf(Collection<TargetRun> targets) {
-		return targets.stream().anyMatch((t) -> at(t).filter((w) -> w.requests() > 0).isPresent());
+		return targets.stream().anyMatch((t) -> workAt(t).filter((w) -> w.requests() > 0).isPresent());
 	}
 
-	// The runs of the targets that it told of.
 	Set<TargetRun> targets() {
 		return this.work.keySet();
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/KnownEntries.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
@@ -12,16 +12,17 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * Holds the other entries by the address that their news come from, and sums up their
- * work.
+ * Table of the known peers by address, with totals of their work by target.
  */
-final class KnownEntries {
+final class PeerTable {
 
 	private final Map<String, Peer> peers = new TreeMap<>();
 
-	private final Map<TargetRun, WorkAtTarget> sums = new HashMap<>();
+	private final Map<TargetRun, WorkAtTarget> totals = new HashMap<>();
 
-	/** The last news of entries that are gone; what they spent counts on for a window. */
+	/**
+	 * Peers that were removed. Their use of the retry budget counts for one more window.
+	 */
 	private final List<Peer> departed = new ArrayList<>();
 
 	int size() {
@@ -36,7 +37,7 @@
 		return Optional.ofNullable(this.peers.get(address));
 	}
 
-	// By address, in its order.
+	// Sorted by address.
 	Map<String, Peer> all() {
 		return this.peers;
 	}
@@ -46,47 +47,48 @@
 	}
 
 	/**
-	 * Take an entry's news, which are newer than all before from there.
-	 * @param address the address that they came from
-	 * @param news the news
-	 * @param now the time in milliseconds
+	 * Apply an update, which must be newer than all before from the same address.
+	 * @param address the address of the sender
+	 * @param news the update
+	 * @param now the current time in milliseconds
 	 */
-	void take(String address, EntryNews news, long now) {
+	void apply(String address, EntryNews news, long now) {
 		if (at(address).filter((p) -> p.isOtherProcess(news)).isPresent()) {
 			remove(address);
 		}
 		Peer peer = this.peers.computeIfAbsent(address, (a) -> new Peer());
-		sumUp(peer.take(news, now));
+		updateTotals(peer.apply(news, now));
 	}
 
 	/**
-	 * Forget an entry's work; what it spent counts on for a window.
-	 * @param address the entry's address
-	 * @return the entry, if it was known
+	 * Remove a peer and its work. Its use of the retry budget counts for one more window.
+	 * @param address the address of the peer
+	 * @return the peer, or empty if it is unknown
 	 */
 	Optional<Peer> remove(String address) {
 		Peer peer = this.peers.remove(address);
 		if (peer != null) {
 			this.departed.add(peer);
-			sumUp(peer.targets());
+			updateTotals(peer.targets());
 		}
 		return Optional.ofNullable(peer);
 	}
 
-	// The work that all of them have at a target; zero if they have none.
+	// The total work at a target; zero if there is none.
 	WorkAtTarget workAt(TargetRun target) {
-		return this.sums.getOrDefault(target, WorkAtTarget.none(target));
+		return this.totals.getOrDefault(target, WorkAtTarget.none(target));
 	}
 
 	/**
-	 * Return what they spent of the retry budget, those that went lately included.
-	 * @param service the service's name
-	 * @param windowMillis the budget's window, in milliseconds
-	 * @param now the time in milliseconds
-	 * @return the sum; empty while no other entry is known
+	 * Return the total use of the retry budget, including peers that were removed within
+	 * the window.
+	 * @param service the name of the service
+	 * @param windowMillis the window of the budget, in milliseconds
+	 * @param now the current time in milliseconds
+	 * @return the sum; empty while no peer is known
 	 */
 	Optional<ServiceSpending> spending(String service, long windowMillis, long now) {
-		this.departed.removeIf((p) -> p.silence(now) > windowMillis);
+		this.departed.removeIf((p) -> p.silentMillis(now) > windowMillis);
 		if (this.peers.isEmpty()) {
 			return Optional.empty();
 		}
@@ -96,13 +98,13 @@
 			.reduce(new ServiceSpending(service, 0, 0), ServiceSpending::plus));
 	}
 
-	private void sumUp(Set<TargetRun> targets) {
+	private void updateTotals(Set<TargetRun> targets) {
 		for (TargetRun target : targets) {
 			Optional<WorkAtTarget> sum = this.peers.values()
 				.stream()
-				.flatMap((p) -> p.at(target).stream())
+				.flatMap((p) -> p.workAt(target).stream())
 				.reduce(WorkAtTarget::plus);
-			sum.ifPresentOrElse((s) -> this.sums.put(target, s), () -> this.sums.remove(target));
+			sum.ifPresentOrElse((s) -> this.totals.put(target, s), () -> this.totals.remove(target));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Audience.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
@@ -15,37 +15,37 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * Chooses which of the known entries hear what.
- * <p>
- * Entries of the same data centre are near, since they use the same targets; where there
- * are few entries all of them are near.
+ * Selects the peers that receive each gossip update.
+ *
+ * Peers of the same data centre are near, because they use the same targets. In a small
+ * fleet, all peers are near.
  */
-final class Audience {
+final class ReceiverSelector {
 
 	private final GossipSettings settings;
 
 	private final String dataCentre;
 
-	private final KnownEntries known;
+	private final PeerTable known;
 
 	private final RandomGenerator random;
 
-	Audience(GossipSettings settings, String dataCentre, KnownEntries known, RandomGenerator random) {
+	ReceiverSelector(GossipSettings settings, String dataCentre, PeerTable known, RandomGenerator random) {
 		this.settings = settings;
 		this.dataCentre = dataCentre;
 		this.known = known;
 		this.random = random;
 	}
 
-	// All entries near by.
 	List<String> near() {
-		return allThat(this::isNear);
+		return addressesWhere(this::isNear);
 	}
 
 	/**
-	 * Return the distant entries whose turn it is at a heartbeat.
+	 * Return the distant peers that are due at a heartbeat.
 	 * @param beat the number of the heartbeat
-	 * @return a part of them, so that each has its turn once in a few heartbeats
+	 * @return the addresses of a part of the distant peers; each one is due once in
+	 * {@link GossipSettings#distantBeats} heartbeats
 	 */
 	List<String> distantAt(int beat) {
 		List<String> distant = distant();
@@ -58,41 +58,40 @@
 		return due;
 	}
 
-	// All entries that are not near.
 	List<String> distant() {
-		return allThat((p) -> !isNear(p));
+		return addressesWhere((p) -> !isNear(p));
 	}
 
-	// Entries near by, chosen at random if they are many.
-	List<String> someNear() {
-		return someOf(near(), this.settings.fanOut());
+	// All near peers if they are few, and otherwise a random sample.
+	List<String> sampleNear() {
+		return sample(near(), this.settings.fanOut());
 	}
 
-	// Some entries near by, and all that work at any of the targets.
+	// A sample of the near peers, and all peers with work at any of the targets.
 	Set<String> concernedBy(Set<TargetRun> targets) {
-		Set<String> concerned = new HashSet<>(someNear());
-		concerned.addAll(allThat((p) -> p.worksAtAnyOf(targets)));
+		Set<String> concerned = new HashSet<>(sampleNear());
+		concerned.addAll(addressesWhere((p) -> p.worksAtAnyOf(targets)));
 		return concerned;
 	}
 
-	// All entries if they are few, and otherwise those concerned and others at random.
+	// All peers if they are few, and otherwise those concerned and a random sample.
 	Set<String> wide(Set<TargetRun> targets) {
 		Set<String> wide = concernedBy(targets);
-		wide.addAll(someOf(this.known.addresses(), this.settings.mostTold()));
+		wide.addAll(sample(this.known.addresses(), this.settings.mostTold()));
 		return wide;
 	}
 
-	// The entries that are passed on in news, chosen at random if they are many.
-	List<String> toIntroduce() {
-		return someOf(this.known.addresses(), this.settings.introductions());
+	// The addresses to include in an update so that its receivers discover them.
+	List<String> peersToAdvertise() {
+		return sample(this.known.addresses(), this.settings.introductions());
 	}
 
 	/**
-	 * Return the first entries of each other data centre.
-	 * @param count how many of each
-	 * @param rank ranks an entry, given its data centre and name, as unsigned; the
-	 * highest is the first
-	 * @return their addresses
+	 * Return the highest-ranked peers of each other data centre.
+	 * @param count the number of peers for each data centre
+	 * @param rank computes the rank of an entry from its data centre and name; ranks are
+	 * compared as unsigned, highest first
+	 * @return the addresses of the peers
 	 */
 	List<String> firstOfOthers(int count, ToLongBiFunction<String, String> rank) {
 		Map<String, List<Map.Entry<String, Peer>>> byDataCentre = this.known.all()
@@ -112,7 +111,7 @@
 	}
 
 	List<String> sameDataCentre() {
-		return allThat(this::isSameDataCentre);
+		return addressesWhere(this::isSameDataCentre);
 	}
 
 	private boolean isNear(Peer peer) {
@@ -123,7 +122,7 @@
 		return peer.news().dataCentre().equals(this.dataCentre);
 	}
 
-	private List<String> allThat(Predicate<Peer> condition) {
+	private List<String> addressesWhere(Predicate<Peer> condition) {
 		List<String> all = new ArrayList<>();
 		this.known.all().forEach((a, p) -> {
 			if (condition.test(p)) {
@@ -133,15 +132,15 @@
 		return all;
 	}
 
-	private List<String> someOf(List<String> all, int most) {
-		if (all.size() <= most) {
+	private List<String> sample(List<String> all, int limit) {
+		if (all.size() <= limit) {
 			return all;
 		}
-		List<String> mixed = new ArrayList<>(all);
-		for (int i = 0; i < most; i++) {
-			Collections.swap(mixed, i, this.random.nextInt(i, mixed.size()));
+		List<String> shuffled = new ArrayList<>(all);
+		for (int i = 0; i < limit; i++) {
+			Collections.swap(shuffled, i, this.random.nextInt(i, shuffled.size()));
 		}
-		return List.copyOf(mixed.subList(0, most));
+		return List.copyOf(shuffled.subList(0, limit));
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ServiceSpending.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ServiceSpending.java
@@ -3,12 +3,11 @@
 import java.util.Objects;
 
 /**
- * The requests to a service that one entry saw, or several saw, in the retry budget's
- * window, and the sendings repeated for them.
+ * Use of the retry budget of a service within its window, by one entry or several.
  *
- * @param service the service's name
- * @param requests the requests of callers
- * @param repeats the sendings beyond the first of each request
+ * @param service the name of the service
+ * @param requests the number of client requests
+ * @param repeats the number of attempts beyond the first of each request
  * @since 0.2
  */
 public record ServiceSpending(String service, int requests, int repeats) {
@@ -18,8 +17,8 @@
 	}
 
 	/**
-	 * Return the sum of this spending and other spending on the same service.
-	 * @param other the other spending
+	 * Add the use by other entries.
+	 * @param other the use of the budget of the same service
 	 * @return the sum
 	 */
 	public ServiceSpending plus(ServiceSpending other) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/WorkAtTarget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/WorkAtTarget.java
@@ -5,16 +5,17 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * The work that one entry has, or several have, at a target.
+ * Work of one entry or several at a target.
  *
- * @param target the run of the target that the work is at
- * @param requests the requests sent there that have not ended
- * @param heldTokens the engine memory that they hold and will soon hold, copies included
- * @param unreadTokens the tokens of prompts of which no answer has begun
- * @param toMove the generations that are to be moved away because the target is leaving
- * @param copying whether a generation is being copied from or to the target now
- * @param refused the connections that the target refused since one came up last
- * @param leaving whether the target itself said to the entry that it is leaving
+ * @param target the incarnation of the target
+ * @param requests the number of requests in progress
+ * @param heldTokens the engine memory that they use and will use soon, copies included,
+ * in tokens
+ * @param unreadTokens the prompt tokens of requests whose answer has not begun
+ * @param toMove the number of generations to be moved away because the target is draining
+ * @param copying whether a generation is being copied from or to the target
+ * @param refused the number of refused connections since the last successful one
+ * @param leaving whether the target reported to the entry that it is draining
  * @since 0.2
  */
 public record WorkAtTarget(TargetRun target, int requests, long heldTokens, long unreadTokens, int toMove,
@@ -25,17 +26,17 @@
 	}
 
 	/**
-	 * Return that there is no work at a target.
-	 * @param target the run of the target
-	 * @return work of which every count is zero
+	 * Return a record without any work at a target.
+	 * @param target the incarnation of the target
+	 * @return work with all counts at zero
 	 */
 	public static WorkAtTarget none(TargetRun target) {
 		return new WorkAtTarget(target, 0, 0, 0, 0, false, 0, false);
 	}
 
 	/**
-	 * Return the sum of this work and other work at the same target.
-	 * @param other the other work
+	 * Add other work at the same target.
+	 * @param other the work of other entries
 	 * @return the sum
 	 */
 	public WorkAtTarget plus(WorkAtTarget other) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/package-info.java
@@ -1,5 +1,4 @@
 /**
- * What entries tell each other of the work that they have at targets, and which entries
- * there are.
+ * Gossip between entries about their membership and their work at targets.
  */
 package dev.laneworks.core.gossip;
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -25,17 +25,17 @@
 
 	private final Timers timers = new Timers();
 
-	private final List<String> told = new ArrayList<>();
+	private final List<String> receivers = new ArrayList<>();
 
-	private final List<String> leaving = new ArrayList<>();
+	private final List<String> draining = new ArrayList<>();
 
-	private final List<NeedsNews> needsHeard = new ArrayList<>();
+	private final List<NeedsNews> receivedSignals = new ArrayList<>();
 
 	private NeedsNews needs = NeedsNews.NONE;
 
 	private final List<AuditEvent> audit = new ArrayList<>();
 
-	private EntryNews lastNews;
+	private EntryNews lastUpdate;
 
 	private List<WorkAtTarget> ownWork = List.of();
 
@@ -44,13 +44,13 @@
 			this.audit::add);
 
 	@Test
-	void asksSeedsButNotItself() {
+	void contactsSeedsExceptItself() {
 		this.gossip.start(0);
-		assertThat(this.told).containsExactly("10.0.0.9:7200");
+		assertThat(this.receivers).containsExactly("10.0.0.9:7200");
 	}
 
 	@Test
-	void sumsUpTheWorkOfOthersAndReplacesItByTheirNextNews() {
+	void nextUpdateOfAPeerReplacesItsWork() {
 		assertThat(this.gossip.others(TargetRun.of("t"))).isEqualTo(Optional.empty());
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
 		this.gossip.received("10.0.0.3:7200", news("three", 3, 1, work(1, 100)), 0);
@@ -61,7 +61,7 @@
 	}
 
 	@Test
-	void passesOverLateNewsOfTheSameProcessButNotOfANewOne() {
+	void ignoresLateUpdateOfTheSameIncarnationOnly() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 7, work(1, 700)), 0);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 6, work(1, 600)), 1);
 		assertThat(this.gossip.others(TargetRun.of("t")).get().heldTokens()).isEqualTo(700);
@@ -70,7 +70,7 @@
 	}
 
 	@Test
-	void aSilentEntryIsForgottenWithItsWork() {
+	void silentPeerIsRemovedWithItsWork() {
 		this.gossip.start(0);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
 		this.timers.run(3_000);
@@ -81,7 +81,7 @@
 	}
 
 	@Test
-	void anEntryThatEndsIsForgottenAtOnce() {
+	void peerThatShutsDownIsRemovedAtOnce() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
 		this.gossip.received("10.0.0.2:7200",
 				new EntryNews("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), NeedsNews.NONE, List.of()),
@@ -90,30 +90,30 @@
 	}
 
 	@Test
-	void introducesItselfToEntriesThatOthersName() {
+	void contactsEntriesThatPeersAdvertise() {
 		EntryNews news = new EntryNews("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(), NeedsNews.NONE,
 				List.of("10.0.0.5:7200", "10.0.0.1:7200"));
 		this.gossip.received("10.0.0.2:7200", news, 0);
-		assertThat(this.told).containsExactly("10.0.0.2:7200", "10.0.0.5:7200").inOrder();
+		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.5:7200").inOrder();
 	}
 
 	@Test
-	void tellsChangesTogetherUnlessOthersWaitForThem() {
+	void batchesChangesUnlessOthersWaitForThem() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
-		this.told.clear();
+		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.NEAR, 110);
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.NEAR, 112);
 		this.timers.run(120);
-		assertThat(this.told).isEmpty();
+		assertThat(this.receivers).isEmpty();
 		this.timers.run(125);
-		assertThat(this.told).hasSize(1);
+		assertThat(this.receivers).hasSize(1);
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 126);
 		this.timers.run(126);
-		assertThat(this.told).hasSize(2);
+		assertThat(this.receivers).hasSize(2);
 	}
 
 	@Test
-	void whatAnEntrySpentCountsOnAfterItIsGoneForAsLongAsTheWindow() {
+	void spendingOfARemovedPeerCountsForOneMoreWindow() {
 		ServiceSpending spent = new ServiceSpending("s", 10, 4);
 		EntryNews two = new EntryNews("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(spent), NeedsNews.NONE,
 				List.of());
@@ -130,28 +130,28 @@
 	}
 
 	@Test
-	void whatTargetsNeedIsToldAndHeardWithAllNews() {
+	void everyUpdateCarriesBackPressureSignals() {
 		this.needs = new NeedsNews(List.of(new LimitNews(TargetRun.of("t"), OptionalDouble.of(3), 40)),
 				List.of(TargetRun.of("u")));
 		this.gossip.received("10.0.0.2:7200",
 				new EntryNews("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.needs, List.of()), 0);
-		assertThat(this.needsHeard).containsExactly(this.needs);
-		assertThat(this.lastNews.needs()).isEqualTo(this.needs);
+		assertThat(this.receivedSignals).containsExactly(this.needs);
+		assertThat(this.lastUpdate.needs()).isEqualTo(this.needs);
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.ALL, 100);
 		this.timers.run(200);
-		assertThat(this.lastNews.partial()).isTrue();
-		assertThat(this.lastNews.needs()).isEqualTo(this.needs);
+		assertThat(this.lastUpdate.partial()).isTrue();
+		assertThat(this.lastUpdate.needs()).isEqualTo(this.needs);
 	}
 
 	@Test
-	void entriesTakeTurnsByRankAndDoNotDisturbACopy() {
-		String target = targetWhere("two", "me");
+	void entriesMoveInRankOrderAndWaitForACopyInProgress() {
+		String target = targetRanking("two", "me");
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, false)), 0);
 		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 100, 100)).isFalse();
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, moving(target, 0, false)), 0);
 		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 5, 5)).isFalse();
 		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 20, 20)).isTrue();
-		String mine = targetWhere("me", "two");
+		String mine = targetRanking("me", "two");
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 3, moving(mine, 2, false)), 0);
 		assertThat(this.gossip.isFirstToMove(TargetRun.of(mine), 0, 0)).isTrue();
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 4, moving(mine, 2, true)), 0);
@@ -159,8 +159,8 @@
 	}
 
 	@Test
-	void anEntryThatFallsSilentInItsTurnLosesIt() {
-		String target = targetWhere("two", "me");
+	void silentPeerLosesItsTurn() {
+		String target = targetRanking("two", "me");
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, moving(target, 2, true)), 0);
 		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 200, 200)).isFalse();
 		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 201, 201)).isTrue();
@@ -169,23 +169,23 @@
 	}
 
 	@Test
-	void tellsOftenThatItIsAwakeWhileItMoves() {
+	void sendsFrequentUpdatesWhileMoving() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
 		this.ownWork = List.of(moving("t", 1, true));
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 100);
 		this.timers.run(100);
-		this.told.clear();
+		this.receivers.clear();
 		this.timers.run(160);
 		this.timers.run(220);
-		assertThat(this.told).hasSize(2);
+		assertThat(this.receivers).hasSize(2);
 		this.ownWork = List.of();
 		this.timers.run(280);
 		this.timers.run(400);
-		assertThat(this.told).hasSize(2);
+		assertThat(this.receivers).hasSize(2);
 	}
 
 	@Test
-	void anEntryWhoseCopiesTakeLongIsNotWaitedFor() {
+	void peerWithALongCopyLosesItsTurn() {
 		String target = "t";
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, true)), 0);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, moving(target, 1, true)), 400);
@@ -198,34 +198,34 @@
 	}
 
 	@Test
-	void aChangeIsToldNearByAndTheDistantHearOfItByTheHeartbeat() {
+	void nearPeersReceiveChangesAtOnceAndDistantOnesByHeartbeat() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
 		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
 		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
 		this.gossip.start(0);
-		this.told.clear();
+		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.NEAR, 100);
 		this.timers.run(100);
-		assertThat(this.told).containsExactly("10.0.0.2:7200");
-		assertThat(this.lastNews.partial()).isTrue();
-		this.told.clear();
+		assertThat(this.receivers).containsExactly("10.0.0.2:7200");
+		assertThat(this.lastUpdate.partial()).isTrue();
+		this.receivers.clear();
 		this.timers.run(1_000);
 		this.timers.run(2_000);
-		assertThat(this.told).containsAtLeast("10.0.0.3:7200", "10.0.0.4:7200");
-		assertThat(this.lastNews.partial()).isFalse();
-		assertThat(this.lastNews.againMillis()).isEqualTo(3_000);
+		assertThat(this.receivers).containsAtLeast("10.0.0.3:7200", "10.0.0.4:7200");
+		assertThat(this.lastUpdate.partial()).isFalse();
+		assertThat(this.lastUpdate.againMillis()).isEqualTo(3_000);
 	}
 
 	@Test
-	void passesOnThatATargetToldAnotherEntryOfItsLeaving() {
+	void passesOnThatAPeerReportsADrainingTarget() {
 		this.gossip.received("10.0.0.2:7200",
 				news("two", 2, 1, new WorkAtTarget(TargetRun.of("t"), 0, 0, 0, 0, false, 0, true)), 0);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, work(1, 1)), 1);
-		assertThat(this.leaving).containsExactly("t");
+		assertThat(this.draining).containsExactly("t");
 	}
 
 	@Test
-	void whatOthersTellOfOneRunOfATargetDoesNotFallOnAnother() {
+	void workIsKeptSeparateForEachTargetIncarnation() {
 		TargetRun former = TargetRun.of("t", 1_000);
 		WorkAtTarget work = new WorkAtTarget(former, 3, 70, 10, 1, true, 2, true);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work), 0);
@@ -237,7 +237,7 @@
 	}
 
 	@Test
-	void theFirstThatIsAwakeAsksTheTargetsOfItsDataCentre() {
+	void firstLiveEntryProbesTheTargetsOfItsDataCentre() {
 		ToLongBiFunction<String, String> rank = (d, i) -> i.equals("two") ? 2 : 1;
 		assertThat(this.gossip.asksIn("z", rank, 0)).isTrue();
 		this.gossip.received("10.0.0.3:7200", distant("two", 2), 0);
@@ -248,67 +248,67 @@
 	}
 
 	@Test
-	void whereADataCentreHasNoEntryTheFirstOfAllAsksItsTargets() {
+	void firstEntryOfAllProbesADataCentreWithoutEntries() {
 		ToLongBiFunction<String, String> rank = (d, i) -> (i.equals("two") == d.equals("far")) ? 2 : 1;
 		assertThat(this.gossip.asksIn("far", rank, 0)).isTrue();
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
 		assertThat(this.gossip.asksIn("far", rank, 0)).isFalse();
 		assertThat(this.gossip.asksIn("elsewhere", rank, 0)).isTrue();
 		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
-		String place = distant("three", 3).dataCentre();
-		assertThat(this.gossip.asksIn(place, rank, 0)).isFalse();
+		String dataCentre = distant("three", 3).dataCentre();
+		assertThat(this.gossip.asksIn(dataCentre, rank, 0)).isFalse();
 	}
 
 	@Test
-	void workBegunIsToldToAllOfAFewEntriesAndToSomeOfMany() {
+	void wideChangeReachesAllOfASmallFleetAndASampleOfALargeOne() {
 		for (int i = 2; i < 12; i++) {
 			this.gossip.received("10.0.0." + i + ":7200", distant("e" + i, i), 0);
 		}
-		this.told.clear();
+		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.WIDE, 100);
 		this.timers.run(100);
-		assertThat(this.told).hasSize(10);
+		assertThat(this.receivers).hasSize(10);
 		this.gossip.received("10.0.0.77:7200", distant("worker", 77, work(1, 1)), 150);
 		for (int i = 12; i < 100; i++) {
 			this.gossip.received("10.0.1." + i + ":7200", distant("e" + i, i), 150);
 		}
-		this.told.clear();
+		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.WIDE, 200);
 		this.timers.run(200);
-		assertThat(this.told.size()).isAtMost(SETTINGS.mostTold() + 1);
-		assertThat(this.told.size()).isAtLeast(SETTINGS.mostTold());
-		assertThat(this.told).contains("10.0.0.77:7200");
+		assertThat(this.receivers.size()).isAtMost(SETTINGS.mostTold() + 1);
+		assertThat(this.receivers.size()).isAtLeast(SETTINGS.mostTold());
+		assertThat(this.receivers).contains("10.0.0.77:7200");
 	}
 
 	@Test
-	void workBegunAtADistantTargetIsToldToAll() {
+	void changeForAllReachesAllPeers() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
 		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
 		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
-		this.told.clear();
+		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.ALL, 100);
 		this.gossip.changed(TargetRun.of("u"), ChangeReach.NEAR, 100);
 		this.timers.run(100);
-		assertThat(this.told).containsExactly("10.0.0.2:7200", "10.0.0.3:7200", "10.0.0.4:7200");
-		this.told.clear();
+		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.3:7200", "10.0.0.4:7200");
+		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("u"), ChangeReach.NEAR, 200);
 		this.timers.run(200);
-		assertThat(this.told).containsExactly("10.0.0.2:7200");
+		assertThat(this.receivers).containsExactly("10.0.0.2:7200");
 	}
 
 	@Test
-	void aMoveIsToldToThoseWhoWorkAtTheTarget() {
+	void moveReachesPeersWithWorkAtTheTarget() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
 		this.gossip.received("10.0.0.3:7200", distant("three", 3, work(1, 1)), 0);
 		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
-		this.told.clear();
+		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 100);
 		this.timers.run(100);
-		assertThat(this.told).containsExactly("10.0.0.2:7200", "10.0.0.3:7200");
+		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.3:7200");
 	}
 
 	@Test
-	void partialNewsChangeTheWorkThatTheyNameAlone() {
+	void partialUpdateChangesOnlyTheTargetsThatItNames() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
 		EntryNews partial = new EntryNews("two", "z", 2, 2, false, true, 1_000,
 				List.of(new WorkAtTarget(TargetRun.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), NeedsNews.NONE,
@@ -322,7 +322,7 @@
 	}
 
 	@Test
-	void anEntryThatSpeaksSeldomIsWaitedForLonger() {
+	void peerWithLongerUpdateIntervalIsRemovedLater() {
 		this.gossip.start(0);
 		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
 		this.timers.run(9_000);
@@ -332,18 +332,18 @@
 	}
 
 	@Test
-	void saysGoodbyeOnceAndNoMore() {
+	void sendsNoUpdateAfterShutdown() {
 		this.gossip.start(0);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
 		this.gossip.end(200);
-		assertThat(this.lastNews.ending()).isTrue();
-		this.told.clear();
+		assertThat(this.lastUpdate.ending()).isTrue();
+		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 210);
 		this.timers.run(10_000);
-		assertThat(this.told).isEmpty();
+		assertThat(this.receivers).isEmpty();
 	}
 
-	private static String targetWhere(String higher, String lower) {
+	private static String targetRanking(String higher, String lower) {
 		for (int i = 0;; i++) {
 			long key = Rendezvous.hash("t" + i);
 			if (Long.compareUnsigned(Rendezvous.weight(key, higher), Rendezvous.weight(key, lower)) > 0) {
@@ -374,18 +374,18 @@
 
 		@Override
 		public void send(String address, EntryNews news) {
-			GossipTests.this.told.add(address);
-			GossipTests.this.lastNews = news;
+			GossipTests.this.receivers.add(address);
+			GossipTests.this.lastUpdate = news;
 		}
 
 		@Override
 		public void heardLeaving(TargetRun target) {
-			GossipTests.this.leaving.add(target.id());
+			GossipTests.this.draining.add(target.id());
 		}
 
 		@Override
 		public void heardNeeds(NeedsNews news) {
-			GossipTests.this.needsHeard.add(news);
+			GossipTests.this.receivedSignals.add(news);
 		}
 
 		@Override
