--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/DemandShare.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/DemandShare.java
@@ -1,7 +1,8 @@
 package dev.laneworks.core.backpressure;
 
 /**
- * Tells this entry's part of what all entries may send to a target together.
+ * Computes the share of this entry in the requests that all entries together may send to
+ * a target.
  *
  * @since 0.4
  */
@@ -9,10 +10,10 @@
 public interface DemandShare {
 
 	/**
-	 * Return this entry's part.
+	 * Return the share of this entry.
 	 * @param service the service of the target
-	 * @param now the time in milliseconds
-	 * @return the part, above 0 and up to 1; the parts of all entries add up to about 1
+	 * @param now the current time in milliseconds
+	 * @return the share, above 0 and up to 1; the shares of all entries add up to about 1
 	 */
 	double of(String service, long now);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/PermitBucket.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/PermitBucket.java
@@ -1,10 +1,11 @@
 package dev.laneworks.core.backpressure;
 
 /**
- * Permits to send one request each, which come at a rate and lapse if they are not used.
- * <p>
- * A bucket begins with a part of a permit, so that those of many processes, each of which
- * has a permit once in a long while, don't get it at the same time.
+ * Bucket of permits to send one request each, which accrue at a rate and expire if they
+ * are not used.
+ *
+ * A bucket starts with a fraction of a permit, so that processes with a low rate do not
+ * all get their permits at the same time.
  */
 final class PermitBucket {
 
@@ -12,36 +13,36 @@
 
 	private double spent;
 
-	private long at;
+	private long accruedAt;
 
 	/**
 	 * Create a bucket.
-	 * @param begun the part of the first permit that is there already, from 0 to 1
-	 * @param now the time in milliseconds
+	 * @param initial the initial fraction of a permit, from 0 to 1
+	 * @param now the current time in milliseconds
 	 */
-	PermitBucket(double begun, long now) {
-		this.accrued = begun;
-		this.at = now;
+	PermitBucket(double initial, long now) {
+		this.accrued = initial;
+		this.accruedAt = now;
 	}
 
 	/**
-	 * Take that time has passed.
-	 * @param perMilli the permits that came in each millisecond of it
-	 * @param lifeMillis after how many milliseconds a permit that is not used lapses
-	 * @param now the time in milliseconds
+	 * Add the permits for the time since the previous call.
+	 * @param perMilli the rate in permits per millisecond
+	 * @param lifeMillis the time after which an unused permit expires, in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	void accrue(double perMilli, double lifeMillis, long now) {
-		this.accrued += perMilli * Math.max(0, now - this.at);
-		this.at = now;
+		this.accrued += perMilli * Math.max(0, now - this.accruedAt);
+		this.accruedAt = now;
 		this.spent = Math.max(this.spent, Math.floor(this.accrued - perMilli * lifeMillis));
 	}
 
-	// Takes a permit; where none is there the next ones are owed.
-	void take() {
+	// Uses a permit. If none is available, the next one is owed.
+	void spend() {
 		this.spent++;
 	}
 
-	// When the next permit is there, in milliseconds; 0 if one is.
+	// The time until the next permit in milliseconds; 0 if one is available.
 	double nextInMillis(double perMilli) {
 		return Math.max(0, missing()) / perMilli;
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/RequestShare.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/RequestShare.java
@@ -5,21 +5,21 @@
 import java.util.function.IntSupplier;
 
 /**
- * Shares by the requests for a service that each entry had of late, as entries tell each
- * other.
- * <p>
- * Callers are spread unevenly over entries. With equal parts an entry would refuse its
- * callers while the part of another is left unused.
+ * Divides a rate limit in proportion to the recent requests of each entry, as exchanged
+ * by gossip.
+ *
+ * Clients are spread unevenly over entries. With equal shares, one entry would reject
+ * requests while the share of another is unused.
  *
  * @since 0.4
  */
 public final class RequestShare implements DemandShare {
 
 	/**
-	 * The requests that each entry is taken to have had beside those that it did, so that
-	 * entries which all begin to have some within a heartbeat don't each take the whole.
+	 * The requests added to the count of each entry, so that entries that all receive
+	 * their first requests within one heartbeat do not each claim the whole limit.
 	 */
-	private static final double EACH = 1;
+	private static final double EXTRA_REQUESTS = 1;
 
 	private final IntSupplier entries;
 
@@ -28,10 +28,11 @@
 	private final Requests others;
 
 	/**
-	 * Create shares.
-	 * @param entries gives how many entries there are, this one included
-	 * @param own gives this entry's requests
-	 * @param others gives those of the other entries; empty while none of them is known
+	 * Create a share.
+	 * @param entries supplies the number of entries, including this one
+	 * @param own supplies the recent requests of this entry
+	 * @param others supplies the recent requests of the other entries; empty while none
+	 * of them is known
 	 */
 	public RequestShare(IntSupplier entries, Requests own, Requests others) {
 		this.entries = Objects.requireNonNull(entries, "entries must not be null");
@@ -42,25 +43,25 @@
 	@Override
 	public double of(String service, long now) {
 		int count = Math.max(1, this.entries.getAsInt());
-		OptionalLong told = this.others.of(service, now);
-		if (told.isEmpty()) {
+		OptionalLong otherRequests = this.others.of(service, now);
+		if (otherRequests.isEmpty()) {
 			return 1.0 / count;
 		}
-		long ours = this.own.of(service, now).orElse(0);
-		return (ours + EACH) / (ours + told.getAsLong() + count * EACH);
+		long ownRequests = this.own.of(service, now).orElse(0);
+		return (ownRequests + EXTRA_REQUESTS) / (ownRequests + otherRequests.getAsLong() + count * EXTRA_REQUESTS);
 	}
 
 	/**
-	 * Tells how many requests for a service there were of late.
+	 * Supplies the number of recent requests for a service.
 	 */
 	@FunctionalInterface
 	public interface Requests {
 
 		/**
-		 * Return the requests within a time that is the same for all entries.
-		 * @param service the service
-		 * @param now the time in milliseconds
-		 * @return the count, or empty if it isn't known
+		 * Return the number of requests within a window that is the same for all entries.
+		 * @param service the name of the service
+		 * @param now the current time in milliseconds
+		 * @return the count, or empty if it is unknown
 		 */
 		OptionalLong of(String service, long now);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetLimits.java
@@ -14,62 +14,62 @@
 import dev.laneworks.core.gossip.LimitNews;
 
 /**
- * Keeps to the requests a second that targets take from all entries together, without a
+ * Enforces the rate limits that targets advertise for all entries together, without a
  * shared counter.
- * <p>
- * Each entry sends its part. What it sends though its part is used up, because a
- * generation can go on nowhere else, is taken from what it sends next. A limit holds
- * until the target's answer to a request that was sent after the limit was told names
- * none; entries tell each other both. Pure code over explicit time; not thread-safe.
+ *
+ * Each entry sends its share. A request that exceeds the share, because its generation
+ * can resume nowhere else, is deducted from later permits. A limit holds until a response
+ * without a limit arrives to a request that was sent after the limit was advertised;
+ * entries pass on both to each other. Time is passed in explicitly. Not thread-safe.
  *
  * @since 0.4
  */
 public final class TargetLimits {
 
 	/**
-	 * The part of a limit that entries use together: what they know of each other's part
-	 * is up to a heartbeat old.
+	 * The fraction of a limit that entries use together; allows for shares that are up to
+	 * a heartbeat old.
 	 */
-	private static final double TOGETHER = 0.95;
+	private static final double USABLE_FRACTION = 0.95;
 
 	/**
-	 * What is sent at the least to a target that takes less, in requests a second of all
-	 * entries: only an answer tells that it takes more again.
+	 * The lowest rate of requests of all entries to a target, per second. Only a response
+	 * reveals that a target accepts more again.
 	 */
-	private static final double LEAST_PER_SECOND = 0.1;
+	private static final double MIN_PER_SECOND = 0.1;
 
-	/** The highest limit that is believed, in requests a second. */
-	private static final double MOST_PER_SECOND = 100_000;
+	/** The highest valid limit, in requests per second. */
+	private static final double MAX_PER_SECOND = 100_000;
 
 	/**
-	 * What all entries together may save up of a limit, in requests, and in seconds of
-	 * the limit on top; half of what a target bears at once beyond its limit.
+	 * The burst that all entries together may save up: a number of requests plus some
+	 * seconds of the limit.
 	 */
-	private static final double SAVED_REQUESTS = 2.5;
+	private static final double BURST_REQUESTS = 2.5;
 
-	private static final double SAVED_SECONDS = 1;
+	private static final double BURST_SECONDS = 1;
 
-	/** How often the own part is worked out anew, in milliseconds. */
-	private static final long SHARE_MILLIS = 100;
+	/** The interval for computing the share anew, in milliseconds. */
+	private static final long SHARE_REFRESH_MILLIS = 100;
 
-	/** For how long others are told that a limit is over, in milliseconds. */
-	private static final long OVER_TOLD_MILLIS = 10_000;
+	/** The time for which a lifted limit is announced to others, in milliseconds. */
+	private static final long LIFTED_ANNOUNCE_MILLIS = 10_000;
 
 	/**
-	 * For how long the limit of a target is known that is not listed any more, in
-	 * milliseconds: it may have lapsed alone, and be back as it was.
+	 * The retention of the limit of a target that is not listed, in milliseconds; the
+	 * target may be listed again soon.
 	 */
-	private static final long GONE_KNOWN_MILLIS = 60_000;
+	private static final long UNLISTED_RETENTION_MILLIS = 60_000;
 
-	/** The most limits that others are told of at once, so that news stay small. */
-	private static final int MOST_TOLD = 64;
+	/** The most limits in one update; bounds its size. */
+	private static final int MAX_ANNOUNCED = 64;
 
 	/**
-	 * How much newer the word of another entry must be than the one known, in
-	 * milliseconds. The time that news are on their way makes them look newer than they
-	 * are, and a word would come back from others as a newer one.
+	 * The least difference in age by which a limit from another entry replaces the
+	 * recorded one, in milliseconds. Delivery time makes limits look newer than they are,
+	 * and an entry would accept its own limit as a newer one.
 	 */
-	private static final long NEWER_MILLIS = 50;
+	private static final long MIN_AGE_DIFFERENCE_MILLIS = 50;
 
 	private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -77,13 +77,13 @@
 
 	private final ToDoubleFunction<String> phase;
 
-	private final Map<TargetRun, Limit> byRun = new HashMap<>();
+	private final Map<TargetRun, Limit> byIncarnation = new HashMap<>();
 
 	/**
-	 * Create limits; no target has named one.
-	 * @param share tells this entry's part
-	 * @param phase gives a number from 0 to 1 for a target's id that differs from entry
-	 * to entry
+	 * Create a record without any limit.
+	 * @param share computes the share of this entry
+	 * @param phase computes a number from 0 to 1 for the id of a target that differs
+	 * between entries
 	 */
 	public TargetLimits(DemandShare share, ToDoubleFunction<String> phase) {
 		this.share = Objects.requireNonNull(share, "share must not be null");
@@ -91,137 +91,142 @@
 	}
 
 	/**
-	 * Return whether a limit can be meant.
-	 * @param perSecond the requests a second
-	 * @return {@code false} if it is negative, not a number or absurdly high
+	 * Determine whether a limit is valid.
+	 * @param perSecond the requests per second
+	 * @return {@code false} if it is negative, not a number or above the highest valid
+	 * limit
 	 */
-	static boolean canBe(double perSecond) {
-		return perSecond >= 0 && perSecond <= MOST_PER_SECOND;
+	static boolean isValid(double perSecond) {
+		return perSecond >= 0 && perSecond <= MAX_PER_SECOND;
 	}
 
 	/**
-	 * Take what a target says of its limit in an answer to this entry.
+	 * Record the limit in a response to this entry.
 	 * @param target the target
-	 * @param perSecond the limit, which can be meant; empty where the answer names none
-	 * @param askedAt when the request was sent that it answers, in milliseconds
-	 * @param now the time in milliseconds
-	 * @return whether that is new
+	 * @param perSecond the limit, which must be valid; empty if the response has none
+	 * @param requestSentAt the time at which the request was sent, in milliseconds
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if the limit changed
 	 */
-	boolean told(ListedTarget target, OptionalDouble perSecond, long askedAt, long now) {
-		Limit known = this.byRun.get(target.run());
-		boolean isKnownOver = known == null || known.perSecond.isEmpty();
-		if (perSecond.isEmpty() && (isKnownOver || askedAt < known.toldAt)) {
+	boolean recordReported(ListedTarget target, OptionalDouble perSecond, long requestSentAt, long now) {
+		Limit recorded = this.byIncarnation.get(target.run());
+		boolean isKnownUnlimited = recorded == null || recorded.perSecond.isEmpty();
+		if (perSecond.isEmpty() && (isKnownUnlimited || requestSentAt < recorded.reportedAt)) {
 			return false;
 		}
-		return take(target.run(), perSecond, now);
+		return update(target.run(), perSecond, now);
 	}
 
 	/**
-	 * Take what a target said to another entry. What can't be true changes nothing.
-	 * @param news what it said
-	 * @param now the time in milliseconds
-	 * @return whether that is new
+	 * Record the limit that a target advertised to another entry. An invalid limit is
+	 * ignored.
+	 * @param news the limit
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if the limit changed
 	 */
-	boolean heard(LimitNews news, long now) {
-		Limit known = this.byRun.get(news.target());
-		long toldAt = now - news.ageMillis();
-		boolean isOlder = known != null && toldAt <= known.toldAt + NEWER_MILLIS;
-		if (isOlder || !canBe(news.perSecond().orElse(0))) {
+	boolean recordGossiped(LimitNews news, long now) {
+		Limit recorded = this.byIncarnation.get(news.target());
+		long reportedAt = now - news.ageMillis();
+		boolean isOlder = recorded != null && reportedAt <= recorded.reportedAt + MIN_AGE_DIFFERENCE_MILLIS;
+		if (isOlder || !isValid(news.perSecond().orElse(0))) {
 			return false;
 		}
-		return take(news.target(), news.perSecond(), toldAt);
+		return update(news.target(), news.perSecond(), reportedAt);
 	}
 
-	private boolean take(TargetRun target, OptionalDouble perSecond, long toldAt) {
-		this.byRun.values().removeIf((l) -> l.isForgotten(toldAt));
-		Limit limit = this.byRun.computeIfAbsent(target, (run) -> new Limit());
+	private boolean update(TargetRun target, OptionalDouble perSecond, long reportedAt) {
+		this.byIncarnation.values().removeIf((l) -> l.isExpired(reportedAt));
+		Limit limit = this.byIncarnation.computeIfAbsent(target, (run) -> new Limit());
 		boolean isNew = !limit.perSecond.equals(perSecond);
 		limit.perSecond = perSecond;
-		limit.toldAt = toldAt;
-		limit.goneAt = OptionalLong.empty();
+		limit.reportedAt = reportedAt;
+		limit.unlistedAt = OptionalLong.empty();
 		return isNew;
 	}
 
 	/**
-	 * Return what others are to be told.
-	 * @param now the time in milliseconds
-	 * @return the last word of each target that names a limit, or did a moment ago, the
-	 * newest ones first
+	 * Return the limits to pass on to others.
+	 * @param now the current time in milliseconds
+	 * @return the current and the recently lifted limits, the most recent first
 	 */
 	List<LimitNews> news(long now) {
-		this.byRun.values().removeIf((l) -> l.isForgotten(now));
-		return this.byRun.entrySet()
+		this.byIncarnation.values().removeIf((l) -> l.isExpired(now));
+		return this.byIncarnation.entrySet()
 			.stream()
-			.filter((e) -> e.getValue().goneAt.isEmpty())
-			.sorted(Comparator.comparingLong((e) -> -e.getValue().toldAt))
-			.limit(MOST_TOLD)
-			.map((e) -> new LimitNews(e.getKey(), e.getValue().perSecond, Math.max(0, now - e.getValue().toldAt)))
+			.filter((e) -> e.getValue().unlistedAt.isEmpty())
+			.sorted(Comparator.comparingLong((e) -> -e.getValue().reportedAt))
+			.limit(MAX_ANNOUNCED)
+			.map((e) -> new LimitNews(e.getKey(), e.getValue().perSecond, Math.max(0, now - e.getValue().reportedAt)))
 			.toList();
 	}
 
 	/**
-	 * Return after which time a target takes one more request of this entry.
+	 * Return the time until this entry may send another request to a target.
 	 * @param target the target
-	 * @param now the time in milliseconds
-	 * @return milliseconds; 0 if it does now. No more than until any entry has a permit
+	 * @param now the current time in milliseconds
+	 * @return milliseconds, 0 if it may do so now; at most the time until any entry has a
+	 * permit
 	 */
 	long freeInMillis(ListedTarget target, long now) {
-		Limit limit = this.byRun.get(target.run());
+		Limit limit = this.byIncarnation.get(target.run());
 		if (limit == null || limit.perSecond.isEmpty()) {
 			return 0;
 		}
 		advance(limit, target, now);
-		double any = MILLIS_PER_SECOND / limit.allPerSecond();
-		return (long) Math.ceil(Math.min(any, limit.permits.nextInMillis(limit.perMilli)));
+		double anyEntryMillis = MILLIS_PER_SECOND / limit.allPerSecond();
+		return (long) Math.ceil(Math.min(anyEntryMillis, limit.permits.nextInMillis(limit.perMilli)));
 	}
 
 	/**
 	 * Record that a request is sent to a target.
 	 * @param target the target
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	void sent(ListedTarget target, long now) {
-		Limit limit = this.byRun.get(target.run());
+		Limit limit = this.byIncarnation.get(target.run());
 		if (limit != null && limit.perSecond.isPresent()) {
-			limit.goneAt = OptionalLong.empty();
+			limit.unlistedAt = OptionalLong.empty();
 			advance(limit, target, now);
-			limit.permits.take();
+			limit.permits.spend();
 		}
 	}
 
 	/**
-	 * Take that a run of a target is not listed any more.
-	 * @param target the run
-	 * @param now the time in milliseconds
+	 * Record that a target is not listed any more.
+	 * @param target the incarnation of the target
+	 * @param now the current time in milliseconds
 	 */
-	void gone(TargetRun target, long now) {
-		Limit limit = this.byRun.get(target);
+	void recordUnlisted(TargetRun target, long now) {
+		Limit limit = this.byIncarnation.get(target);
 		if (limit != null) {
-			limit.goneAt = OptionalLong.of(now);
+			limit.unlistedAt = OptionalLong.of(now);
 		}
 	}
 
 	boolean isEmpty() {
-		return this.byRun.isEmpty();
+		return this.byIncarnation.isEmpty();
 	}
 
 	/**
-	 * Return how many targets have named a limit.
+	 * Return the number of listed targets with a limit.
 	 * @return the count
 	 */
 	int count() {
-		return (int) this.byRun.values().stream().filter((l) -> l.perSecond.isPresent() && l.goneAt.isEmpty()).count();
+		return (int) this.byIncarnation.values()
+			.stream()
+			.filter((l) -> l.perSecond.isPresent() && l.unlistedAt.isEmpty())
+			.count();
 	}
 
 	private void advance(Limit limit, ListedTarget target, long now) {
 		if (limit.permits == null) {
 			limit.permits = new PermitBucket(this.phase.applyAsDouble(target.id()), now);
 		}
-		if (now - limit.sharedAt >= SHARE_MILLIS) {
-			limit.sharedAt = now;
-			limit.part = this.share.of(target.service(), now);
+		if (now - limit.shareComputedAt >= SHARE_REFRESH_MILLIS) {
+			limit.shareComputedAt = now;
+			limit.ownShare = this.share.of(target.service(), now);
 		}
-		limit.perMilli = limit.part * limit.allPerSecond() / MILLIS_PER_SECOND;
+		limit.perMilli = limit.ownShare * limit.allPerSecond() / MILLIS_PER_SECOND;
 		limit.permits.accrue(limit.perMilli, limit.lifeMillis(), now);
 	}
 
@@ -229,32 +234,33 @@
 
 		private OptionalDouble perSecond = OptionalDouble.empty();
 
-		private long toldAt;
+		private long reportedAt;
 
-		/** Since when the target is not listed, if it is not. */
-		private OptionalLong goneAt = OptionalLong.empty();
+		/** The time since which the target is not listed; empty while it is listed. */
+		private OptionalLong unlistedAt = OptionalLong.empty();
 
-		private double part;
+		private double ownShare;
 
-		private long sharedAt = Long.MIN_VALUE / 2;
+		private long shareComputedAt = Long.MIN_VALUE / 2;
 
 		private double perMilli;
 
 		private PermitBucket permits;
 
-		boolean isForgotten(long now) {
-			boolean isOver = this.perSecond.isEmpty() && now - this.toldAt > OVER_TOLD_MILLIS;
-			return isOver || (this.goneAt.isPresent() && now - this.goneAt.getAsLong() > GONE_KNOWN_MILLIS);
+		boolean isExpired(long now) {
+			boolean isLifted = this.perSecond.isEmpty() && now - this.reportedAt > LIFTED_ANNOUNCE_MILLIS;
+			return isLifted
+					|| (this.unlistedAt.isPresent() && now - this.unlistedAt.getAsLong() > UNLISTED_RETENTION_MILLIS);
 		}
 
-		// What all entries send together.
+		// The rate of all entries together.
 		double allPerSecond() {
-			return Math.max(LEAST_PER_SECOND, TOGETHER * this.perSecond.orElse(0));
+			return Math.max(MIN_PER_SECOND, USABLE_FRACTION * this.perSecond.orElse(0));
 		}
 
-		// Permits of all entries that are not used add up to what may be saved.
+		// Bounds the unused permits of all entries to the burst.
 		double lifeMillis() {
-			return (SAVED_SECONDS + SAVED_REQUESTS / allPerSecond()) * MILLIS_PER_SECOND;
+			return (BURST_SECONDS + BURST_REQUESTS / allPerSecond()) * MILLIS_PER_SECOND;
 		}
 
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetNeeds.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetNeeds.java
@@ -5,18 +5,18 @@
 import java.util.OptionalLong;
 
 /**
- * What a target says in one answer of what it needs.
+ * Back-pressure signals in one response of a target.
  *
- * @param limitPerSecond the requests a second that it takes from all entries together,
- * empty where it names no limit, not a number where what it names can't be read
- * @param restMillis for how long it wants nothing from this entry, in milliseconds, empty
- * where it asks for no rest, negative where what it asks for can't be read
- * @param leaving whether it says that it is leaving
+ * @param limitPerSecond the requests per second that the target accepts from all entries
+ * together; empty if the response has no limit, not a number if it cannot be parsed
+ * @param restMillis the backoff that the target asks of this entry, in milliseconds;
+ * empty if the response has none, negative if it cannot be parsed
+ * @param leaving whether the target reports that it is draining
  * @since 0.4
  */
 public record TargetNeeds(OptionalDouble limitPerSecond, OptionalLong restMillis, boolean leaving) {
 
-	/** What a target says that needs nothing. */
+	/** Response without any back-pressure signal. */
 	public static final TargetNeeds NONE = new TargetNeeds(OptionalDouble.empty(), OptionalLong.empty(), false);
 
 	public TargetNeeds {
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
@@ -16,11 +16,11 @@
 import dev.laneworks.core.gossip.NeedsNews;
 
 /**
- * Tells whether targets may be sent more, by what they say in their answers that they
- * need.
- * <p>
- * What is known is bound to a run of a target. A line is recorded where what a target
- * says changes, and one a run of it where it can't be true. Not thread-safe.
+ * Back-pressure state of all targets, from the signals in their responses and from other
+ * entries.
+ *
+ * State is kept by incarnation of a target. A change is audited each time, an invalid
+ * signal once for each incarnation. Not thread-safe.
  *
  * @since 0.4
  */
@@ -28,194 +28,201 @@
 
 	private final TargetLimits limits;
 
-	private final Consumer<TargetRun> toTell;
+	private final Consumer<TargetRun> announcer;
 
 	private final AuditSink audit;
 
-	private final TargetRests rests = new TargetRests();
+	private final TargetBackoffs backoffs = new TargetBackoffs();
 
-	private final LeavingTargets leaving = new LeavingTargets();
+	private final DrainingTargets leaving = new DrainingTargets();
 
-	/** Runs of targets that said something that can't be true. */
-	private final Set<TargetRun> absurd = new HashSet<>();
+	/** Incarnations of targets that sent an invalid signal. */
+	private final Set<TargetRun> invalid = new HashSet<>();
 
 	/**
-	 * Create a record in which no target needs anything.
-	 * @param limits the limits that targets name
-	 * @param toTell hears of targets of which others are to be told at once
-	 * @param audit hears of what targets say
+	 * Create a record without any back-pressure.
+	 * @param limits the rate limits of targets
+	 * @param announcer receives each target whose signals must be sent to other entries
+	 * at once
+	 * @param audit receives an event for each change
 	 */
-	public TargetsInNeed(TargetLimits limits, Consumer<TargetRun> toTell, AuditSink audit) {
-		this.toTell = Objects.requireNonNull(toTell, "toTell must not be null");
+	public TargetsInNeed(TargetLimits limits, Consumer<TargetRun> announcer, AuditSink audit) {
+		this.announcer = Objects.requireNonNull(announcer, "toTell must not be null");
 		this.limits = Objects.requireNonNull(limits, "limits must not be null");
 		this.audit = Objects.requireNonNull(audit, "audit must not be null");
 	}
 
 	/**
-	 * Take what a target says in an answer.
+	 * Record the signals in a response of a target.
 	 * @param target the target
-	 * @param needs what it says
-	 * @param askedAt when the request was sent that it answers, in milliseconds
-	 * @param now the time in milliseconds
+	 * @param needs the signals
+	 * @param requestSentAt the time at which the request was sent, in milliseconds
+	 * @param now the current time in milliseconds
 	 */
-	public void told(ListedTarget target, TargetNeeds needs, long askedAt, long now) {
-		toldLimit(target, needs.limitPerSecond(), askedAt, now);
-		toldRest(target, needs.restMillis(), now);
-		if (needs.leaving() && this.leaving.said(target.run(), now)) {
-			record(target, "says in an answer that it is leaving: nothing new goes there");
-			this.toTell.accept(target.run());
+	public void told(ListedTarget target, TargetNeeds needs, long requestSentAt, long now) {
+		recordLimit(target, needs.limitPerSecond(), requestSentAt, now);
+		recordRequestedBackoff(target, needs.restMillis(), now);
+		if (needs.leaving() && this.leaving.recordOwnReport(target.run(), now)) {
+			record(target, "reported that it is draining: no new requests are sent there");
+			this.announcer.accept(target.run());
 		}
 	}
 
 	/**
-	 * Take what targets said to another entry.
-	 * @param news what they said
-	 * @param isListed whether a run of a target is listed; others may name one for a
-	 * while longer than it is here
-	 * @param now the time in milliseconds
+	 * Record signals that targets sent to other entries.
+	 * @param news the signals
+	 * @param isListed determines whether an incarnation is listed; other entries may
+	 * still name one that is not
+	 * @param now the current time in milliseconds
 	 */
 	public void heard(NeedsNews news, Predicate<TargetRun> isListed, long now) {
-		news.limits().stream().filter((l) -> isListed.test(l.target())).forEach((l) -> this.limits.heard(l, now));
-		news.leaving().forEach((t) -> heardLeaving(t, now));
+		news.limits()
+			.stream()
+			.filter((l) -> isListed.test(l.target()))
+			.forEach((l) -> this.limits.recordGossiped(l, now));
+		news.leaving().forEach((t) -> recordGossipedDraining(t, now));
 	}
 
 	/**
-	 * Return what others are to be told.
-	 * @param now the time in milliseconds
-	 * @return what targets said last, limits heard from others included
+	 * Return the signals to pass on to other entries.
+	 * @param now the current time in milliseconds
+	 * @return the latest signals, including limits received from other entries
 	 */
 	public NeedsNews news(long now) {
-		return new NeedsNews(this.limits.news(now), this.leaving.toTell(now));
+		return new NeedsNews(this.limits.news(now), this.leaving.toAnnounce(now));
 	}
 
 	/**
-	 * Return whether a target said that it is leaving, to this entry or another.
+	 * Determine whether a target reported to any entry that it is draining.
 	 * @param target the target
-	 * @return whether it takes nothing new
+	 * @return {@code true} if it accepts no new requests
 	 */
 	public boolean isLeaving(ListedTarget target) {
 		return this.leaving.contains(target.run());
 	}
 
 	/**
-	 * Return whether no target has said of late that it is leaving.
-	 * @return whether {@link #isLeaving} is true of none
+	 * Determine whether no target is recorded as draining.
+	 * @return {@code true} if {@link #isLeaving} holds for no target
 	 */
 	public boolean isNoneLeaving() {
 		return this.leaving.isEmpty();
 	}
 
 	/**
-	 * Return after which time a target takes one more request of this entry.
+	 * Return the time until this entry may send another request to a target.
 	 * @param target the target
-	 * @param now the time in milliseconds
-	 * @return milliseconds; 0 if it does now
+	 * @param now the current time in milliseconds
+	 * @return milliseconds; 0 if it may do so now
 	 */
 	public long freeInMillis(ListedTarget target, long now) {
 		return isQuiet() ? 0
-				: Math.max(this.limits.freeInMillis(target, now), this.rests.leftMillis(target.run(), now));
+				: Math.max(this.limits.freeInMillis(target, now), this.backoffs.remainingMillis(target.run(), now));
 	}
 
 	/**
 	 * Record that a request is sent to a target.
 	 * @param target the target
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void sent(ListedTarget target, long now) {
 		this.limits.sent(target, now);
-		this.rests.sent(target.run(), now);
+		this.backoffs.sent(target.run(), now);
 	}
 
 	/**
-	 * Take that a target is not listed any more. What it said is known for a while still.
+	 * Record that a target is not listed any more. Its signals stay in force for a while.
 	 * @param target the target
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void gone(ListedTarget target, long now) {
-		this.limits.gone(target.run(), now);
-		this.absurd.remove(target.run());
+		this.limits.recordUnlisted(target.run(), now);
+		this.invalid.remove(target.run());
 	}
 
 	/**
-	 * Return whether no target has named a limit or asked for rest lately.
-	 * @return whether all take what they are sent, as far as is known
+	 * Determine whether no target has a rate limit or a backoff period on record.
+	 * @return {@code true} if requests are not restricted
 	 */
 	public boolean isQuiet() {
-		return this.limits.isEmpty() && this.rests.isEmpty();
+		return this.limits.isEmpty() && this.backoffs.isEmpty();
 	}
 
 	/**
-	 * Return whether a target has asked this entry for rest that is not over.
+	 * Determine whether a target is in a backoff period.
 	 * @param target the target
-	 * @param now the time in milliseconds
-	 * @return whether it wants nothing from this entry
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if this entry must not send new requests to it
 	 */
 	public boolean isResting(ListedTarget target, long now) {
-		return this.rests.leftMillis(target.run(), now) > 0;
+		return this.backoffs.remainingMillis(target.run(), now) > 0;
 	}
 
 	/**
-	 * Return whether a generation may go back to a target that it has been at, or goes on
-	 * at a copy that stands there already.
+	 * Determine whether a generation may return to a target where it was before, or
+	 * resume at a copy there.
 	 * @param target the target
-	 * @param now the time in milliseconds
-	 * @return {@code false} if the target rests and has borne enough of that
+	 * @param now the current time in milliseconds
+	 * @return {@code false} if the limit of returns within the current backoff period is
+	 * reached
 	 */
 	public boolean takesReturn(ListedTarget target, long now) {
-		return this.rests.takesReturn(target.run(), now);
+		return this.backoffs.takesReturn(target.run(), now);
 	}
 
 	/**
-	 * Return how many targets have asked this entry for rest that is not over.
-	 * @param now the time in milliseconds
+	 * Return the number of targets in a backoff period.
+	 * @param now the current time in milliseconds
 	 * @return the count
 	 */
 	public int resting(long now) {
-		return this.rests.count(now);
+		return this.backoffs.count(now);
 	}
 
 	/**
-	 * Return how many targets have named a limit.
+	 * Return the number of targets with a rate limit.
 	 * @return the count
 	 */
 	public int limited() {
 		return this.limits.count();
 	}
 
-	private void heardLeaving(TargetRun target, long now) {
-		if (this.leaving.heard(target, now)) {
+	private void recordGossipedDraining(TargetRun target, long now) {
+		if (this.leaving.recordDraining(target, now)) {
 			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target.id(), target.id(),
-					"said to another entry that it is leaving: nothing new goes there"));
+					"reported to another entry that it is draining: no new requests are sent there"));
 		}
 	}
 
-	private void toldLimit(ListedTarget target, OptionalDouble perSecond, long askedAt, long now) {
-		if (perSecond.isPresent() && !TargetLimits.canBe(perSecond.getAsDouble())) {
-			recordAbsurd(target, "names a limit that can't be");
+	private void recordLimit(ListedTarget target, OptionalDouble perSecond, long requestSentAt, long now) {
+		if (perSecond.isPresent() && !TargetLimits.isValid(perSecond.getAsDouble())) {
+			recordInvalid(target, "reported an invalid rate limit");
 		}
-		else if (this.limits.told(target, perSecond, askedAt, now)) {
-			record(target, perSecond.isPresent() ? "names a limit of " + perSecond.getAsDouble() + " requests a second"
-					: "names no limit any more");
-			this.toTell.accept(target.run());
+		else if (this.limits.recordReported(target, perSecond, requestSentAt, now)) {
+			record(target,
+					perSecond.isPresent()
+							? "reported a rate limit of " + perSecond.getAsDouble() + " requests per second"
+							: "lifted its rate limit");
+			this.announcer.accept(target.run());
 		}
 	}
 
-	private void toldRest(ListedTarget target, OptionalLong millis, long now) {
+	private void recordRequestedBackoff(ListedTarget target, OptionalLong millis, long now) {
 		if (millis.isEmpty()) {
 			return;
 		}
-		if (!TargetRests.canBe(millis.getAsLong())) {
-			recordAbsurd(target, "asks for a rest that can't be");
+		if (!TargetBackoffs.isValid(millis.getAsLong())) {
+			recordInvalid(target, "asked for an invalid backoff");
 			return;
 		}
 		if (!isResting(target, now)) {
-			record(target, "asks for " + millis.getAsLong() + " ms of rest");
+			record(target, "asked for a backoff of " + millis.getAsLong() + " ms");
 		}
-		this.rests.asked(target.run(), millis.getAsLong(), now);
+		this.backoffs.recordBackoff(target.run(), millis.getAsLong(), now);
 	}
 
-	private void recordAbsurd(ListedTarget target, String what) {
-		if (this.absurd.add(target.run())) {
+	private void recordInvalid(ListedTarget target, String what) {
+		if (this.invalid.add(target.run())) {
 			record(target, what + "; passed over");
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Keeps what targets in need ask for in their answers.
+ * Rate limits, backoff periods and draining that targets signal in their responses.
  */
 package dev.laneworks.core.backpressure;
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -160,7 +160,7 @@
 			return;
 		}
 		if (news.ending()) {
-			remove(from, "it shuts down");
+			removePeer(from, "it shuts down");
 			return;
 		}
 		this.known.apply(from, news, now);
@@ -212,7 +212,7 @@
 		long key = Rendezvous.hash(target.id());
 		long own = Rendezvous.weight(key, this.instance);
 		for (Peer peer : this.known.all().values()) {
-			Optional<WorkAtTarget> work = peer.workAt(target);
+			Optional<WorkAtTarget> work = peer.reportedWork(target);
 			boolean hasClaim = work.filter((w) -> w.copying() || w.toMove() > 0).isPresent();
 			if (hasClaim && hasLostTurn(peer, target, now)) {
 				continue;
@@ -348,12 +348,12 @@
 	private void removeSilent(long now) {
 		for (Map.Entry<String, Peer> peer : List.copyOf(this.known.all().entrySet())) {
 			if (peer.getValue().isSilent(now)) {
-				remove(peer.getKey(), "silent for " + peer.getValue().silentMillis(now) + " ms");
+				removePeer(peer.getKey(), "silent for " + peer.getValue().silentMillis(now) + " ms");
 			}
 		}
 	}
 
-	private void remove(String address, String cause) {
+	private void removePeer(String address, String cause) {
 		this.known.remove(address)
 			.ifPresent((p) -> this.audit
 				.record(AuditEvent.of(AuditKind.MEMBERSHIP, p.news().instance(), "", "entry gone: " + cause)));
@@ -374,17 +374,17 @@
 			return;
 		}
 		this.nextSendAt = Long.MAX_VALUE;
-		Set<TargetRun> targets = Set.copyOf(this.changedTargets);
-		send(receivers(targets), workAt(targets), now);
+		Set<TargetRun> sent = Set.copyOf(this.changedTargets);
+		send(receivers(sent), workAt(sent), now);
 		this.changedTargets.clear();
 		this.pendingReach = ChangeReach.NEAR;
 	}
 
-	private Collection<String> receivers(Set<TargetRun> targets) {
+	private Collection<String> receivers(Set<TargetRun> sent) {
 		return switch (this.pendingReach) {
 			case NEAR -> this.selector.sampleNear();
-			case CONCERNED -> this.selector.concernedBy(targets);
-			case WIDE -> this.selector.wide(targets);
+			case CONCERNED -> this.selector.concernedBy(sent);
+			case WIDE -> this.selector.wide(sent);
 			case ALL -> this.known.addresses();
 		};
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
@@ -58,7 +58,7 @@
 	}
 
 	private void trackCopying(TargetRun target, long now) {
-		if (workAt(target).filter(WorkAtTarget::copying).isPresent()) {
+		if (reportedWork(target).filter(WorkAtTarget::copying).isPresent()) {
 			this.copyingSince.putIfAbsent(target, now);
 		}
 		else {
@@ -104,12 +104,12 @@
 	}
 
 	// Its latest reported work at a target; empty if it reported none.
-	Optional<WorkAtTarget> workAt(TargetRun target) {
+	Optional<WorkAtTarget> reportedWork(TargetRun target) {
 		return Optional.ofNullable(this.work.get(target));
 	}
 
 	boolean worksAtAnyOf(Collection<TargetRun> targets) {
-		return targets.stream().anyMatch((t) -> workAt(t).filter((w) -> w.requests() > 0).isPresent());
+		return targets.stream().anyMatch((t) -> reportedWork(t).filter((w) -> w.requests() > 0).isPresent());
 	}
 
 	Set<TargetRun> targets() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
@@ -102,7 +102,7 @@
 		for (TargetRun target : targets) {
 			Optional<WorkAtTarget> sum = this.peers.values()
 				.stream()
-				.flatMap((p) -> p.workAt(target).stream())
+				.flatMap((p) -> p.reportedWork(target).stream())
 				.reduce(WorkAtTarget::plus);
 			sum.ifPresentOrElse((s) -> this.totals.put(target, s), () -> this.totals.remove(target));
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
@@ -132,15 +132,15 @@
 		return all;
 	}
 
-	private List<String> sample(List<String> all, int limit) {
-		if (all.size() <= limit) {
+	private List<String> sample(List<String> all, int sampleSize) {
+		if (all.size() <= sampleSize) {
 			return all;
 		}
 		List<String> shuffled = new ArrayList<>(all);
-		for (int i = 0; i < limit; i++) {
+		for (int i = 0; i < sampleSize; i++) {
 			Collections.swap(shuffled, i, this.random.nextInt(i, shuffled.size()));
 		}
-		return List.copyOf(shuffled.subList(0, limit));
+		return List.copyOf(shuffled.subList(0, sampleSize));
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -13,29 +13,30 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * Entries in virtual time that share the limit of one target, to which they send whatever
- * they may, and the rest elsewhere.
- * <p>
- * The target answers after 80 ms and names its limit in each answer from one second on.
- * Entries hear of each other 2 ms late, and miss a part of the datagrams: what is told at
- * once, and the heartbeats of each second with the requests of the last ten.
+ * Simulation in virtual time of entries that share the rate limit of one target.
+ *
+ * Each entry sends to the target whatever it may. The target advertises its limit in all
+ * responses after the first second. Updates between entries are delayed and may be lost.
  */
 final class LimitedFleet {
 
 	private static final long STEP_MILLIS = 5;
 
-	private static final long ANSWER_MILLIS = 80;
+	private static final long RESPONSE_MILLIS = 80;
 
-	private static final long WAY_MILLIS = 2;
+	private static final long LATENCY_MILLIS = 2;
 
 	private static final long HEARTBEAT_MILLIS = 1_000;
 
-	private static final long DEMAND_MILLIS = 10_000;
+	private static final long DEMAND_WINDOW_MILLIS = 10_000;
 
-	/** From when on the limit is named, and when it binds all entries that are told. */
-	private static final long NAMED_MILLIS = 1_000;
+	/**
+	 * The time of the first response with a limit, and the time from which the limit is
+	 * checked.
+	 */
+	private static final long FIRST_LIMIT_MILLIS = 1_000;
 
-	private static final long BINDS_MILLIS = NAMED_MILLIS + 3_000;
+	private static final long CHECKED_FROM_MILLIS = FIRST_LIMIT_MILLIS + 3_000;
 
 	private static final long WINDOW_MILLIS = 4_000;
 
@@ -45,78 +46,79 @@
 
 	private final SplittableRandom random;
 
-	private final Way way;
+	private final Sharing sharing;
 
 	private final double limit;
 
-	private final double lost;
+	private final double lossRate;
 
 	private final List<Entry> entries = new ArrayList<>();
 
-	/** When requests reached the target. */
+	/** The times at which requests reached the target. */
 	private final List<Long> arrivals = new ArrayList<>();
 
 	private long now;
 
-	/** The requests that callers made behind the time at which the limit binds. */
-	int asked;
+	/** The number of client requests since the limit is checked. */
+	int clientRequests;
 
-	LimitedFleet(Way way, int entries, double limit, double lost, long seed) {
-		this.way = way;
+	LimitedFleet(Sharing sharing, int entries, double limit, double lossRate, long seed) {
+		this.sharing = sharing;
 		this.limit = limit;
-		this.lost = lost;
+		this.lossRate = lossRate;
 		this.random = new SplittableRandom(seed);
 		for (int i = 0; i < entries; i++) {
-			this.entries
-				.add(new Entry(i, (way == Way.REQUESTS_RANDOM) ? this.random.nextDouble() : (i + 0.5) / entries));
+			this.entries.add(new Entry(i,
+					(sharing == Sharing.REQUESTS_RANDOM) ? this.random.nextDouble() : (i + 0.5) / entries));
 		}
 	}
 
 	/**
-	 * Let callers come to all entries alike, or to the first one alone.
-	 * @param aSecond their requests a second
-	 * @param isEven whether they come to all entries
+	 * Set the rate of client requests.
+	 * @param perSecond the requests per second of all clients
+	 * @param isEven whether they are spread over all entries; otherwise the first entry
+	 * receives all
 	 */
-	void demand(double aSecond, boolean isEven) {
+	void demand(double perSecond, boolean isEven) {
 		for (Entry entry : this.entries) {
-			entry.aSecond = isEven ? aSecond / this.entries.size() : (entry.number == 0) ? aSecond : 0;
+			entry.perSecond = isEven ? perSecond / this.entries.size() : (entry.number == 0) ? perSecond : 0;
 		}
 	}
 
 	/**
-	 * Let half of the entries end for a while; their callers go to the others. Those that
-	 * come back know nothing.
-	 * @param from when they end, in milliseconds
-	 * @param until when they are back, in milliseconds
+	 * Stop half of the entries for a while; the others receive their requests. Stopped
+	 * entries lose their state.
+	 * @param from the time at which they stop, in milliseconds
+	 * @param until the time at which they start again, in milliseconds
 	 */
-	void endHalf(long from, long until) {
+	void restartHalf(long from, long until) {
 		List<Entry> half = this.entries.subList(this.entries.size() / 2, this.entries.size());
 		this.timers.at(from, (t) -> {
-			this.entries.forEach((e) -> e.aSecond *= 2);
-			half.forEach((e) -> e.isUp = false);
+			this.entries.forEach((e) -> e.perSecond *= 2);
+			half.forEach((e) -> e.isRunning = false);
 		});
 		this.timers.at(until, (t) -> {
-			this.entries.forEach((e) -> e.aSecond /= 2);
-			half.forEach(Entry::startAgain);
+			this.entries.forEach((e) -> e.perSecond /= 2);
+			half.forEach(Entry::restart);
 		});
 	}
 
 	/**
-	 * Let callers press for two seconds.
-	 * @param at from when on, in milliseconds
-	 * @param times how many times as many requests come
+	 * Multiply the rate of client requests for two seconds.
+	 * @param at the start in milliseconds
+	 * @param times the factor
 	 */
-	void crowd(long at, double times) {
-		this.timers.at(at, (t) -> this.entries.forEach((e) -> e.aSecond *= times));
-		this.timers.at(at + 2_000, (t) -> this.entries.forEach((e) -> e.aSecond /= times));
+	void burst(long at, double times) {
+		this.timers.at(at, (t) -> this.entries.forEach((e) -> e.perSecond *= times));
+		this.timers.at(at + 2_000, (t) -> this.entries.forEach((e) -> e.perSecond /= times));
 	}
 
 	LimitedFleet run(long millis) {
 		for (this.now = 0; this.now < millis; this.now += STEP_MILLIS) {
 			this.timers.run(this.now);
 			for (Entry entry : this.entries) {
-				if (entry.isUp && this.random.nextDouble() < entry.aSecond * STEP_MILLIS / 1_000) {
-					entry.ask();
+				if (entry.isRunning && this.random.nextDouble() < entry.perSecond * STEP_MILLIS / 1_000) {
+					entry.handleClientRequest();
 				}
 			}
 		}
@@ -124,14 +126,15 @@
 	}
 
 	/**
-	 * Return the most requests in any four seconds, over what is allowed.
-	 * @return their ratio
+	 * Compute the highest number of requests within any four seconds, relative to what
+	 * the limit allows.
+	 * @return the ratio; above 1 if the limit was exceeded
 	 */
-	double mostOfAllowed() {
+	double peakRatio() {
 		Deque<Long> window = new ArrayDeque<>();
 		int most = 0;
 		for (long at : this.arrivals) {
-			if (at >= BINDS_MILLIS) {
+			if (at >= CHECKED_FROM_MILLIS) {
 				window.add(at);
 				while (window.peekFirst() <= at - WINDOW_MILLIS) {
 					window.removeFirst();
@@ -143,33 +146,33 @@
 	}
 
 	/**
-	 * Return the part of what the target or its callers would have borne that was sent.
-	 * @return the part, from the time on at which the limit binds
+	 * Compute the used part of the limit or, if lower, of the demand.
+	 * @return the ratio, from the time at which the limit is checked
 	 */
-	double used() {
-		long sent = this.arrivals.stream().filter((t) -> t >= BINDS_MILLIS).count();
-		return sent / Math.min(this.asked, this.limit * (this.now - BINDS_MILLIS) / 1_000);
+	double utilization() {
+		long sent = this.arrivals.stream().filter((t) -> t >= CHECKED_FROM_MILLIS).count();
+		return sent / Math.min(this.clientRequests, this.limit * (this.now - CHECKED_FROM_MILLIS) / 1_000);
 	}
 
-	private int up() {
-		return (int) this.entries.stream().filter((e) -> e.isUp).count();
+	private int runningEntries() {
+		return (int) this.entries.stream().filter((e) -> e.isRunning).count();
 	}
 
 	/**
-	 * How entries share a limit.
+	 * Strategies for sharing a limit between entries.
 	 */
-	enum Way {
+	enum Sharing {
 
-		/** Each entry sends what the limit allows all. */
+		/** Each entry uses the whole limit. */
 		WHOLE,
 
-		/** Equal parts of the entries that there are. */
+		/** Equal shares. */
 		EQUAL,
 
-		/** Parts by the requests of each entry. */
+		/** Shares in proportion to the requests of each entry. */
 		REQUESTS,
 
-		/** The same, and entries begin at random instead of by rank. */
+		/** Shares in proportion to requests, with random initial permits. */
 		REQUESTS_RANDOM
 
 	}
@@ -180,95 +183,98 @@
 
 		private final double phase;
 
-		private boolean isUp = true;
+		private boolean isRunning = true;
 
-		private double aSecond;
+		private double perSecond;
 
 		private TargetLimits limits;
 
 		private final Deque<Long> requests = new ArrayDeque<>();
 
-		/** What it told of its requests last. */
-		private long told;
+		/** The number of requests in the latest heartbeat. */
+		private long reportedRequests;
 
 		Entry(int number, double phase) {
 			this.number = number;
 			this.phase = phase;
-			begin();
+			initialize();
 			LimitedFleet.this.timers.at(LimitedFleet.this.random.nextLong(HEARTBEAT_MILLIS), this::heartbeat);
 		}
 
-		private void begin() {
-			RequestShare byRequests = new RequestShare(LimitedFleet.this::up,
-					(s, t) -> OptionalLong.of(this.requests.size()), (s, t) -> OptionalLong.of(toldByOthers()));
-			DemandShare share = switch (LimitedFleet.this.way) {
+		private void initialize() {
+			RequestShare byRequests = new RequestShare(LimitedFleet.this::runningEntries,
+					(s, t) -> OptionalLong.of(this.requests.size()), (s, t) -> OptionalLong.of(reportedByOthers()));
+			DemandShare share = switch (LimitedFleet.this.sharing) {
 				case WHOLE -> (s, t) -> 1;
-				case EQUAL -> (s, t) -> 1.0 / up();
+				case EQUAL -> (s, t) -> 1.0 / runningEntries();
 				case REQUESTS, REQUESTS_RANDOM -> byRequests;
 			};
 			this.limits = new TargetLimits(share, (t) -> this.phase);
 		}
 
-		void startAgain() {
+		void restart() {
 			this.requests.clear();
-			this.told = 0;
-			begin();
-			this.isUp = true;
+			this.reportedRequests = 0;
+			initialize();
+			this.isRunning = true;
 		}
 
-		private long toldByOthers() {
-			return LimitedFleet.this.entries.stream().filter((e) -> e != this && e.isUp).mapToLong((e) -> e.told).sum();
+		private long reportedByOthers() {
+			return LimitedFleet.this.entries.stream()
+				.filter((e) -> e != this && e.isRunning)
+				.mapToLong((e) -> e.reportedRequests)
+				.sum();
 		}
 
 		private void heartbeat(long at) {
-			forget(at);
-			if (this.isUp && !isLost()) {
-				this.told = this.requests.size();
-				tell(this.limits.news(at));
+			removeOld(at);
+			if (this.isRunning && !isLost()) {
+				this.reportedRequests = this.requests.size();
+				broadcast(this.limits.news(at));
 			}
 			LimitedFleet.this.timers.at(at + HEARTBEAT_MILLIS, this::heartbeat);
 		}
 
-		private void tell(List<LimitNews> news) {
+		private void broadcast(List<LimitNews> news) {
 			if (news.isEmpty()) {
 				return;
 			}
 			List<Entry> receivers = LimitedFleet.this.entries.stream()
-				.filter((e) -> e != this && e.isUp && !isLost())
+				.filter((e) -> e != this && e.isRunning && !isLost())
 				.toList();
-			LimitedFleet.this.timers.at(LimitedFleet.this.now + WAY_MILLIS,
-					(t) -> receivers.forEach((e) -> news.forEach((n) -> e.limits.heard(n, t))));
+			LimitedFleet.this.timers.at(LimitedFleet.this.now + LATENCY_MILLIS,
+					(t) -> receivers.forEach((e) -> news.forEach((n) -> e.limits.recordGossiped(n, t))));
 		}
 
 		private boolean isLost() {
-			return LimitedFleet.this.random.nextDouble() < LimitedFleet.this.lost;
+			return LimitedFleet.this.random.nextDouble() < LimitedFleet.this.lossRate;
 		}
 
-		private void forget(long at) {
-			while (!this.requests.isEmpty() && this.requests.peekFirst() <= at - DEMAND_MILLIS) {
+		private void removeOld(long at) {
+			while (!this.requests.isEmpty() && this.requests.peekFirst() <= at - DEMAND_WINDOW_MILLIS) {
 				this.requests.removeFirst();
 			}
 		}
 
-		void ask() {
+		void handleClientRequest() {
 			long at = LimitedFleet.this.now;
-			forget(at);
+			removeOld(at);
 			this.requests.add(at);
-			LimitedFleet.this.asked += (at >= BINDS_MILLIS) ? 1 : 0;
+			LimitedFleet.this.clientRequests += (at >= CHECKED_FROM_MILLIS) ? 1 : 0;
 			if (this.limits.freeInMillis(LimitedFleet.this.target, at) > 0) {
 				return;
 			}
 			this.limits.sent(LimitedFleet.this.target, at);
 			LimitedFleet.this.arrivals.add(at);
-			TargetLimits asking = this.limits;
-			LimitedFleet.this.timers.at(at + ANSWER_MILLIS, (t) -> answered(asking, at, t));
+			TargetLimits limitsAtSend = this.limits;
+			LimitedFleet.this.timers.at(at + RESPONSE_MILLIS, (t) -> handleResponse(limitsAtSend, at, t));
 		}
 
-		private void answered(TargetLimits asking, long askedAt, long at) {
-			OptionalDouble named = (at >= NAMED_MILLIS) ? OptionalDouble.of(LimitedFleet.this.limit)
+		private void handleResponse(TargetLimits limitsAtSend, long sentAt, long at) {
+			OptionalDouble advertised = (at >= FIRST_LIMIT_MILLIS) ? OptionalDouble.of(LimitedFleet.this.limit)
 					: OptionalDouble.empty();
-			if (asking.told(LimitedFleet.this.target, named, askedAt, at)) {
-				tell(this.limits.news(at));
+			if (limitsAtSend.recordReported(LimitedFleet.this.target, advertised, sentAt, at)) {
+				broadcast(this.limits.news(at));
 			}
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleetReport.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleetReport.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
-import dev.laneworks.core.backpressure.LimitedFleet.Way;
+import dev.laneworks.core.backpressure.LimitedFleet.Sharing;
 
 /**
- * Prints what each way of sharing a target's limit sends and leaves unused, in one table;
- * run by {@code bin/limited-fleet}.
+ * Prints a table of the peak rate and the utilization under each sharing strategy; run by
+ * {@code bin/limited-fleet}.
  */
 public final class LimitedFleetReport {
 
@@ -26,10 +26,10 @@
 		System.out.println("| way | entries | limit a second | trouble | most in 4 s of what is allowed"
 				+ " | seeds over it | part used, mean | worst seed |");
 		System.out.println("|---|---|---|---|---|---|---|---|");
-		for (Way way : Way.values()) {
+		for (Sharing sharing : Sharing.values()) {
 			for (int entries : new int[] { 4, 33, 300 }) {
 				for (double limit : new double[] { 0.2, 3, 30 }) {
-					report(new Setting(way, entries, limit, seeds));
+					report(new Setting(sharing, entries, limit, seeds));
 				}
 			}
 		}
@@ -43,29 +43,29 @@
 		line(setting, "30% lost", 0.3, (f) -> f.demand(demand, true));
 		line(setting, "half end and return, 3% lost", 0.03, (f) -> {
 			f.demand(demand, true);
-			f.endHalf(20_000, 40_000);
+			f.restartHalf(20_000, 40_000);
 		});
 		line(setting, "a crowd behind calm", 0, (f) -> {
 			f.demand(demand / 20, true);
-			f.crowd(40_000, 20);
+			f.burst(40_000, 20);
 		});
 		line(setting, "demand of 0.8 of it", 0, (f) -> f.demand(0.8 * setting.limit, true));
 	}
 
-	private static void line(Setting setting, String trouble, double lost, Consumer<LimitedFleet> made) {
+	private static void line(Setting setting, String scenario, double lossRate, Consumer<LimitedFleet> setUp) {
 		List<LimitedFleet> fleets = IntStream.rangeClosed(1, setting.seeds).parallel().mapToObj((seed) -> {
-			LimitedFleet fleet = new LimitedFleet(setting.way, setting.entries, setting.limit, lost, seed);
-			made.accept(fleet);
+			LimitedFleet fleet = new LimitedFleet(setting.sharing, setting.entries, setting.limit, lossRate, seed);
+			setUp.accept(fleet);
 			return fleet.run(MILLIS);
 		}).toList();
-		System.out.printf("| %s | %d | %.1f | %s | %.2f | %d | %.2f | %.2f |%n", setting.way, setting.entries,
-				setting.limit, trouble, fleets.stream().mapToDouble(LimitedFleet::mostOfAllowed).max().orElse(0),
-				fleets.stream().filter((f) -> f.mostOfAllowed() > 1).count(),
-				fleets.stream().mapToDouble(LimitedFleet::used).average().orElse(0),
-				fleets.stream().mapToDouble(LimitedFleet::used).min().orElse(0));
+		System.out.printf("| %s | %d | %.1f | %s | %.2f | %d | %.2f | %.2f |%n", setting.sharing, setting.entries,
+				setting.limit, scenario, fleets.stream().mapToDouble(LimitedFleet::peakRatio).max().orElse(0),
+				fleets.stream().filter((f) -> f.peakRatio() > 1).count(),
+				fleets.stream().mapToDouble(LimitedFleet::utilization).average().orElse(0),
+				fleets.stream().mapToDouble(LimitedFleet::utilization).min().orElse(0));
 	}
 
-	private record Setting(Way way, int entries, double limit, int seeds) {
+	private record Setting(Sharing sharing, int entries, double limit, int seeds) {
 
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/RequestShareTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/RequestShareTests.java
@@ -7,26 +7,27 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests an entry's part of what all may send together.
+ * Tests for {@link RequestShare}.
  */
 class RequestShareTests {
 
 	@Test
-	void anEntryThatHearsOfNoOtherSharesWithThoseThereWereOfLate() {
+	void shareIsEqualWhileRequestsOfOthersAreUnknown() {
 		assertThat(share(1, 40, OptionalLong.empty())).isEqualTo(1);
 		assertThat(share(4, 40, OptionalLong.empty())).isEqualTo(0.25);
 		assertThat(share(0, 40, OptionalLong.empty())).isEqualTo(1);
 	}
 
 	@Test
-	void partsFollowRequestsAndAddUpToOne() {
-		double many = share(3, 90, OptionalLong.of(10));
-		assertThat(many).isWithin(0.02).of(0.9);
-		assertThat(many + share(3, 10, OptionalLong.of(90)) + share(3, 0, OptionalLong.of(100))).isWithin(1e-9).of(1);
+	void sharesAreProportionalToRequestsAndAddUpToOne() {
+		double largeShare = share(3, 90, OptionalLong.of(10));
+		assertThat(largeShare).isWithin(0.02).of(0.9);
+		assertThat(largeShare + share(3, 10, OptionalLong.of(90)) + share(3, 0, OptionalLong.of(100))).isWithin(1e-9)
+			.of(1);
 	}
 
 	@Test
-	void entriesWithoutRequestsHaveEqualParts() {
+	void entriesWithoutRequestsHaveEqualShares() {
 		assertThat(share(300, 0, OptionalLong.of(0))).isWithin(1e-9).of(1.0 / 300);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
@@ -11,7 +11,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests what one entry sends to a target that names a limit.
+ * Tests for {@link TargetLimits} of a single entry.
  */
 class TargetLimitsTests {
 
@@ -24,47 +24,47 @@
 	private final TargetLimits limits = new TargetLimits((s, t) -> this.share, (t) -> this.phase);
 
 	@Test
-	void aTargetThatNamesNoLimitTakesAll() {
+	void targetWithoutLimitReceivesAllRequests() {
 		assertThat(sentIn(0, 1_000, 1)).isEqualTo(1_000);
-		told(3, 1_000);
-		told(OptionalDouble.empty(), 1_001, 1_001);
+		report(3, 1_000);
+		report(OptionalDouble.empty(), 1_001, 1_001);
 		assertThat(sentIn(1_001, 2_001, 1)).isEqualTo(1_000);
 	}
 
 	@Test
-	void anEntrySendsItsPartWhileCallersWait() {
-		told(20, 0);
+	void entrySendsItsShareUnderLoad() {
+		report(20, 0);
 		assertThat(sentIn(0, 60_000, 10)).isIn(Range.closed(280, 300));
 	}
 
-	// Four seconds bear one and a half times what the limit allows, and five.
+	// The target tolerates 1.5 times its limit plus five requests within four seconds.
 	@Test
-	void whatIsNotUsedDoesNotAddUpToMoreThanATargetBearsAtOnce() {
+	void unusedPermitsStayWithinTheBurst() {
 		for (double limit : new double[] { 0.2, 3, 30 }) {
 			this.share = 1;
-			told(limit, 0);
+			report(limit, 0);
 			sentIn(0, 1, 1);
 			assertThat((double) sentIn(120_000, 124_000, 1)).isAtMost(1.5 * 4 * limit + 5);
-			told(OptionalDouble.empty(), 130_000, 130_000);
+			report(OptionalDouble.empty(), 130_000, 130_000);
 		}
 	}
 
 	@Test
-	void entriesThatHaveAPermitOnceInALongWhileGetItAtDifferentTimes() {
+	void entriesWithSmallSharesGetPermitsAtDifferentTimes() {
 		this.share = 0.01;
 		int all = 0;
 		for (int i = 0; i < 100; i++) {
 			this.phase = i / 100.0;
 			TargetLimits one = new TargetLimits((s, t) -> this.share, (t) -> this.phase);
-			one.told(this.target, OptionalDouble.of(3), 0, 0);
+			one.recordReported(this.target, OptionalDouble.of(3), 0, 0);
 			all += sentIn(one, 0, 4_000, 10);
 		}
 		assertThat(all).isIn(Range.closed(11, 13));
 	}
 
 	@Test
-	void whatHasToGoThereIsTakenFromWhatIsSentNext() {
-		told(4, 0);
+	void requestsBeyondTheShareAreDeductedFromLaterPermits() {
+		report(4, 0);
 		for (int i = 0; i < 3; i++) {
 			this.limits.sent(this.target, 0);
 		}
@@ -73,74 +73,74 @@
 	}
 
 	@Test
-	void anAnswerToARequestThatWasSentBeforeTheLimitWasToldDoesNotEndIt() {
-		told(3, 1_000);
-		told(OptionalDouble.empty(), 999, 1_500);
+	void responseToAnEarlierRequestDoesNotLiftTheLimit() {
+		report(3, 1_000);
+		report(OptionalDouble.empty(), 999, 1_500);
 		assertThat(this.limits.count()).isEqualTo(1);
-		told(OptionalDouble.empty(), 1_000, 1_501);
+		report(OptionalDouble.empty(), 1_000, 1_501);
 		assertThat(this.limits.count()).isEqualTo(0);
 	}
 
 	@Test
-	void theNewestWordHoldsWhoeverHeardItAndDoesNotComeBackAsANewerOne() {
-		told(3, 1_000);
-		assertThat(this.limits.heard(news(OptionalDouble.of(9), 700), 1_600)).isFalse();
-		assertThat(this.limits.heard(news(OptionalDouble.of(9), 600), 1_640)).isFalse();
-		assertThat(this.limits.heard(news(OptionalDouble.of(9), 100), 1_600)).isTrue();
+	void latestLimitAppliesAndIsNotReplacedByItsOwnEcho() {
+		report(3, 1_000);
+		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 700), 1_600)).isFalse();
+		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 600), 1_640)).isFalse();
+		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 100), 1_600)).isTrue();
 		assertThat(this.limits.news(1_600)).containsExactly(news(OptionalDouble.of(9), 100));
-		assertThat(this.limits.heard(news(OptionalDouble.empty(), 0), 1_700)).isTrue();
+		assertThat(this.limits.recordGossiped(news(OptionalDouble.empty(), 0), 1_700)).isTrue();
 		assertThat(this.limits.freeInMillis(this.target, 1_700)).isEqualTo(0);
 	}
 
 	@Test
-	void othersAreToldForAWhileThatALimitIsOver() {
-		assertThat(this.limits.told(this.target, OptionalDouble.of(3), 0, 0)).isTrue();
-		assertThat(this.limits.told(this.target, OptionalDouble.of(3), 10, 10)).isFalse();
-		assertThat(this.limits.told(this.target, OptionalDouble.of(4), 20, 20)).isTrue();
-		assertThat(this.limits.told(this.target, OptionalDouble.empty(), 2_000, 2_000)).isTrue();
+	void liftedLimitIsAnnouncedForAWhile() {
+		assertThat(this.limits.recordReported(this.target, OptionalDouble.of(3), 0, 0)).isTrue();
+		assertThat(this.limits.recordReported(this.target, OptionalDouble.of(3), 10, 10)).isFalse();
+		assertThat(this.limits.recordReported(this.target, OptionalDouble.of(4), 20, 20)).isTrue();
+		assertThat(this.limits.recordReported(this.target, OptionalDouble.empty(), 2_000, 2_000)).isTrue();
 		assertThat(this.limits.news(12_000)).containsExactly(news(OptionalDouble.empty(), 10_000));
 		assertThat(this.limits.news(12_001)).isEmpty();
 	}
 
 	@Test
-	void aLimitThatIsOverIsForgottenThoughAnswersGoOn() {
-		told(3, 0);
+	void liftedLimitIsRemovedDespiteFurtherResponses() {
+		report(3, 0);
 		for (long now = 1_000; now <= 30_000; now += 100) {
-			told(OptionalDouble.empty(), now, now);
+			report(OptionalDouble.empty(), now, now);
 		}
 		assertThat(this.limits.news(30_000)).isEmpty();
 		assertThat(this.limits.isEmpty()).isTrue();
 	}
 
 	@Test
-	void aTargetThatTakesNothingIsAskedNowAndThen() {
+	void targetWithZeroLimitReceivesOccasionalRequests() {
 		this.share = 1;
-		told(0, 0);
+		report(0, 0);
 		int sent = sentIn(0, 100_000, 10);
 		assertThat(sent).isIn(Range.closed(8, 11));
 	}
 
 	@Test
-	void whatCannotBeTrueOfOthersChangesNothing() {
-		for (double absurd : new double[] { -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9 }) {
-			assertThat(TargetLimits.canBe(absurd)).isFalse();
-			assertThat(this.limits.heard(news(OptionalDouble.of(absurd), 0), 100)).isFalse();
+	void invalidLimitFromOthersIsIgnored() {
+		for (double invalid : new double[] { -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9 }) {
+			assertThat(TargetLimits.isValid(invalid)).isFalse();
+			assertThat(this.limits.recordGossiped(news(OptionalDouble.of(invalid), 0), 100)).isFalse();
 		}
 		assertThat(this.limits.count()).isEqualTo(0);
 	}
 
 	@Test
-	void aCallerIsToldNoLaterTimeThanUntilAnyEntryHasAPermit() {
+	void waitingTimeIsBoundedByTheNextPermitOfAnyEntry() {
 		this.share = 0.001;
-		told(2, 0);
+		report(2, 0);
 		assertThat(this.limits.freeInMillis(this.target, 0)).isEqualTo(527);
 	}
 
 	@Test
-	void theLimitOfATargetThatWasGoneForAMomentHoldsOn() {
+	void limitSurvivesABriefAbsenceOfTheTarget() {
 		this.share = 0.001;
-		told(2, 0);
-		this.limits.gone(this.target.run(), 1_000);
+		report(2, 0);
+		this.limits.recordUnlisted(this.target.run(), 1_000);
 		assertThat(this.limits.news(1_000)).isEmpty();
 		assertThat(this.limits.freeInMillis(this.target, 61_000)).isGreaterThan(0L);
 		this.limits.news(61_001);
@@ -148,20 +148,20 @@
 	}
 
 	@Test
-	void newsOfManyLimitsNameTheNewestOnes() {
+	void updateContainsTheMostRecentLimits() {
 		for (int i = 0; i < 100; i++) {
-			this.limits.heard(new LimitNews(TargetRun.of("t" + i), OptionalDouble.of(1), 100 - i), 100);
+			this.limits.recordGossiped(new LimitNews(TargetRun.of("t" + i), OptionalDouble.of(1), 100 - i), 100);
 		}
 		assertThat(this.limits.news(100)).hasSize(64);
 		assertThat(this.limits.news(100).get(0).target()).isEqualTo(TargetRun.of("t99"));
 	}
 
-	private void told(double perSecond, long now) {
-		told(OptionalDouble.of(perSecond), now, now);
+	private void report(double perSecond, long now) {
+		report(OptionalDouble.of(perSecond), now, now);
 	}
 
-	private void told(OptionalDouble perSecond, long askedAt, long now) {
-		this.limits.told(this.target, perSecond, askedAt, now);
+	private void report(OptionalDouble perSecond, long requestSentAt, long now) {
+		this.limits.recordReported(this.target, perSecond, requestSentAt, now);
 	}
 
 	private LimitNews news(OptionalDouble perSecond, long ageMillis) {
@@ -172,12 +172,12 @@
 		return sentIn(this.limits, from, to, step);
 	}
 
-	// How many requests go out of one that comes each few milliseconds.
-	private int sentIn(TargetLimits asked, long from, long to, long step) {
+	// Counts the requests that are sent if one arrives at each step.
+	private int sentIn(TargetLimits limitsToUse, long from, long to, long step) {
 		int sent = 0;
 		for (long now = from; now < to; now += step) {
-			if (asked.freeInMillis(this.target, now) <= 0) {
-				asked.sent(this.target, now);
+			if (limitsToUse.freeInMillis(this.target, now) <= 0) {
+				limitsToUse.sent(this.target, now);
 				sent++;
 			}
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -255,8 +255,8 @@
 		assertThat(this.gossip.asksIn("far", rank, 0)).isFalse();
 		assertThat(this.gossip.asksIn("elsewhere", rank, 0)).isTrue();
 		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
-		String dataCentre = distant("three", 3).dataCentre();
-		assertThat(this.gossip.asksIn(dataCentre, rank, 0)).isFalse();
+		String otherDataCentre = distant("three", 3).dataCentre();
+		assertThat(this.gossip.asksIn(otherDataCentre, rank, 0)).isFalse();
 	}
 
 	@Test
