--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateForm.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StateForm.java
@@ -6,23 +6,23 @@
 import dev.laneworks.core.follow.StoreItem;
 
 /**
- * The form in which items travel.
+ * Encoding of store items for a snapshot transfer.
  *
  * @since 0.2
  */
 public interface StateForm {
 
 	/**
-	 * Write items.
+	 * Encode items.
 	 * @param items the items
-	 * @return their bytes, the same for the same items
+	 * @return the bytes, identical for equal items
 	 */
 	byte[] write(List<StoreItem> items);
 
 	/**
-	 * Read items.
-	 * @param bytes bytes that may come from anywhere
-	 * @return the items; empty if these are not the bytes of any
+	 * Decode items.
+	 * @param bytes untrusted bytes
+	 * @return the items; empty if the bytes are invalid
 	 */
 	Optional<List<StoreItem>> read(byte[] bytes);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateGiver.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StateGiver.java
@@ -7,75 +7,72 @@
 import java.util.function.LongFunction;
 
 /**
- * Hands this process's state over to others that ask for it.
- * <p>
- * The bytes are made once and kept for a moment, so that a state which goes on changing
- * can still be taken whole. Not thread-safe.
+ * Server side of a snapshot transfer, which sends the state of this process in chunks.
+ *
+ * An encoded snapshot is reused for a short time, so that a receiver can fetch all chunks
+ * of one revision while the state changes. Not thread-safe.
  *
  * @since 0.2
  */
 public final class StateGiver {
 
-	/** The bytes of a piece; with its head well below what a datagram may have. */
-	static final int PIECE_BYTES = 16 * 1024;
+	/** The size of a chunk, which fits into a datagram with its header. */
+	static final int CHUNK_BYTES = 16 * 1024;
 
-	/** The most pieces in answer to one question, so that a link is not flooded. */
+	/** The most chunks in response to one request; avoids flooding a link. */
 	static final int WINDOW = 8;
 
-	/**
-	 * How long bytes once made are handed out, in milliseconds; a megabyte takes a few
-	 * dozen.
-	 */
-	private static final long KEEP_MILLIS = 2_000;
+	/** The time for which an encoded snapshot is reused, in milliseconds. */
+	private static final long REUSE_MILLIS = 2_000;
 
 	private final LongFunction<Optional<StoreState>> state;
 
-	private final StateForm form;
+	private final StateForm encoding;
 
-	private List<StatePiece> pieces = List.of();
+	private List<StatePiece> chunks = List.of();
 
-	private long madeAt;
+	private long encodedAt;
 
 	/**
-	 * Create a giver.
-	 * @param state gives the state at a time in milliseconds, if this process knows it
-	 * @param form the form in which items travel
+	 * Create a server.
+	 * @param state supplies the snapshot for a time in milliseconds; empty if this
+	 * process has none
+	 * @param encoding encodes the items
 	 */
-	public StateGiver(LongFunction<Optional<StoreState>> state, StateForm form) {
+	public StateGiver(LongFunction<Optional<StoreState>> state, StateForm encoding) {
 		this.state = state;
-		this.form = form;
+		this.encoding = encoding;
 	}
 
 	/**
-	 * Answer a question.
-	 * @param question the question
-	 * @param now the time in milliseconds
-	 * @return the next pieces that the asker lacks; from the first one on where it asks
-	 * for another revision than the one handed out now; none if this process knows no
-	 * state
+	 * Answer a request for chunks.
+	 * @param question the request
+	 * @param now the current time in milliseconds
+	 * @return the next missing chunks, from the first one if another revision than the
+	 * current one is requested; empty if this process has no snapshot
 	 */
 	public List<StatePiece> answer(StateQuestion question, long now) {
-		if (this.pieces.isEmpty() || now - this.madeAt > KEEP_MILLIS) {
-			this.pieces = this.state.apply(now).map(this::cut).orElse(List.of());
-			this.madeAt = now;
+		if (this.chunks.isEmpty() || now - this.encodedAt > REUSE_MILLIS) {
+			this.chunks = this.state.apply(now).map(this::split).orElse(List.of());
+			this.encodedAt = now;
 		}
-		boolean isSame = !this.pieces.isEmpty() && this.pieces.get(0).revision() == question.revision();
+		boolean isSame = !this.chunks.isEmpty() && this.chunks.get(0).revision() == question.revision();
 		int first = isSame ? question.firstPiece() : 0;
-		return this.pieces.stream().skip(first).limit(WINDOW).toList();
+		return this.chunks.stream().skip(first).limit(WINDOW).toList();
 	}
 
-	private List<StatePiece> cut(StoreState known) {
-		byte[] bytes = this.form.write(known.items());
-		int count = Math.max(1, (bytes.length + PIECE_BYTES - 1) / PIECE_BYTES);
-		if (count > StatePiece.MOST_PIECES) {
+	private List<StatePiece> split(StoreState snapshot) {
+		byte[] bytes = this.encoding.write(snapshot.items());
+		int count = Math.max(1, (bytes.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
+		if (count > StatePiece.MAX_CHUNKS) {
 			return List.of();
 		}
-		List<StatePiece> cut = new ArrayList<>();
+		List<StatePiece> split = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
-			byte[] data = Arrays.copyOfRange(bytes, i * PIECE_BYTES, Math.min(bytes.length, (i + 1) * PIECE_BYTES));
-			cut.add(new StatePiece(known.revision(), known.ageMillis(), i, count, data));
+			byte[] data = Arrays.copyOfRange(bytes, i * CHUNK_BYTES, Math.min(bytes.length, (i + 1) * CHUNK_BYTES));
+			split.add(new StatePiece(snapshot.revision(), snapshot.ageMillis(), i, count, data));
 		}
-		return cut;
+		return split;
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StatePiece.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StatePiece.java
@@ -3,26 +3,24 @@
 import java.util.Objects;
 
 /**
- * One piece of the bytes of a state, small enough for a datagram.
+ * Chunk of an encoded snapshot that fits into a datagram.
  *
- * @param revision the state's revision
- * @param ageMillis the state's age when its bytes were made, in milliseconds
- * @param number the number of this piece, from 0
- * @param count how many pieces there are
- * @param data the piece's bytes
+ * @param revision the revision of the snapshot
+ * @param ageMillis the age of the snapshot when it was encoded, in milliseconds
+ * @param number the index of the chunk, from 0
+ * @param count the total number of chunks
+ * @param data the bytes of the chunk
  * @since 0.2
  */
 public record StatePiece(long revision, long ageMillis, int number, int count, byte[] data) {
 
-	/**
-	 * The most pieces of a state; a configuration of a megabyte has about seventy.
-	 */
-	public static final int MOST_PIECES = 512;
+	/** The most chunks of a snapshot; bounds the memory of a receiver. */
+	public static final int MAX_CHUNKS = 512;
 
 	public StatePiece {
 		Objects.requireNonNull(data, "data must not be null");
-		if (revision < 0 || ageMillis < 0 || count < 1 || count > MOST_PIECES || number < 0 || number >= count) {
-			throw new IllegalArgumentException("there is no piece " + number + " of " + count);
+		if (revision < 0 || ageMillis < 0 || count < 1 || count > MAX_CHUNKS || number < 0 || number >= count) {
+			throw new IllegalArgumentException("invalid chunk " + number + " of " + count);
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateQuestion.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StateQuestion.java
@@ -1,20 +1,20 @@
 package dev.laneworks.core.handover;
 
 /**
- * A question for pieces of a state.
+ * Request for chunks of a snapshot.
  *
- * @param revision the revision of which pieces are missing, or {@link #ANY_REVISION}
- * @param firstPiece the number of the first piece that is missing
+ * @param revision the revision of the missing chunks, or {@link #ANY_REVISION}
+ * @param firstPiece the index of the first missing chunk
  * @since 0.2
  */
 public record StateQuestion(long revision, int firstPiece) {
 
-	/** Any revision will do. */
+	/** Requests the current revision of the server. */
 	public static final long ANY_REVISION = -1;
 
 	public StateQuestion {
 		if (revision < ANY_REVISION || firstPiece < 0) {
-			throw new IllegalArgumentException("there is no piece " + firstPiece + " of revision " + revision);
+			throw new IllegalArgumentException("invalid request for chunk " + firstPiece + " of revision " + revision);
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateTaker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StateTaker.java
@@ -10,23 +10,24 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * Takes the state of a store from other processes, while this one can't read it itself.
- * <p>
- * Pieces may be lost, come twice or in any order. All are taken from one process and one
- * revision; a later revision replaces what was gathered, an earlier one is passed over. A
- * process that falls silent is given up for the next that answers. Not thread-safe.
+ * Receiving side of a snapshot transfer, for a process that cannot read the store itself.
+ *
+ * Chunks may be lost, duplicated or reordered. All chunks must come from one process and
+ * one revision; a later revision replaces an incomplete one, and an earlier one is
+ * ignored. If the sender falls silent, the transfer starts again at another process. Not
+ * thread-safe.
  *
  * @since 0.2
  */
 public final class StateTaker {
 
-	/** How often it is asked for what is missing, in milliseconds. */
-	static final long ASK_MILLIS = 40;
+	/** The interval of requests for missing chunks, in milliseconds. */
+	static final long REQUEST_MILLIS = 40;
 
-	/** After how long without a piece its giver is given up, in milliseconds. */
-	private static final long SILENCE_MILLIS = 150;
+	/** The silence after which a sender is abandoned, in milliseconds. */
+	private static final long MAX_SILENCE_MILLIS = 150;
 
-	private final StateForm form;
+	private final StateForm encoding;
 
 	private final Supplier<List<String>> peers;
 
@@ -36,21 +37,21 @@
 
 	private final Timers timers;
 
-	private boolean asking;
+	private boolean isActive;
 
-	private Optional<Gathered> gathered = Optional.empty();
+	private Optional<PartialSnapshot> partial = Optional.empty();
 
 	/**
-	 * Create a taker; {@link #start(long)} begins it.
-	 * @param form the form in which items travel
-	 * @param peers gives the addresses of the processes that may know a state
-	 * @param questions sends a question to an address
-	 * @param receiver takes the state once it is whole
-	 * @param timers what is due later
+	 * Create a receiver; {@link #start(long)} begins the transfer.
+	 * @param encoding decodes the items
+	 * @param peers supplies the addresses of the processes that may have a snapshot
+	 * @param questions sends a request to an address
+	 * @param receiver receives the complete snapshot
+	 * @param timers schedules requests
 	 */
-	public StateTaker(StateForm form, Supplier<List<String>> peers, BiConsumer<String, StateQuestion> questions,
+	public StateTaker(StateForm encoding, Supplier<List<String>> peers, BiConsumer<String, StateQuestion> questions,
 			Consumer<Taken> receiver, Timers timers) {
-		this.form = form;
+		this.encoding = encoding;
 		this.peers = peers;
 		this.questions = questions;
 		this.receiver = receiver;
@@ -58,84 +59,82 @@
 	}
 
 	/**
-	 * Start to ask, until a state is whole or {@link #stop()} is called.
-	 * @param now the time in milliseconds
+	 * Start to send requests, until a snapshot is complete or {@link #stop()} is called.
+	 * @param now the current time in milliseconds
 	 */
 	public void start(long now) {
-		this.asking = true;
-		ask(now);
+		this.isActive = true;
+		sendRequests(now);
 	}
 
-	/**
-	 * Stop asking, because the state was read otherwise.
-	 */
+	/** Stop the transfer, because the state was obtained elsewhere. */
 	public void stop() {
-		this.asking = false;
-		this.gathered = Optional.empty();
+		this.isActive = false;
+		this.partial = Optional.empty();
 	}
 
 	/**
-	 * Take a piece.
-	 * @param from the address that it came from
-	 * @param piece the piece
-	 * @param now the time in milliseconds
+	 * Handle a chunk.
+	 * @param from the address of the sender
+	 * @param piece the chunk
+	 * @param now the current time in milliseconds
 	 */
 	public void received(String from, StatePiece piece, long now) {
-		if (!this.asking || !this.peers.get().contains(from)) {
+		if (!this.isActive || !this.peers.get().contains(from)) {
 			return;
 		}
-		if (this.gathered.filter((g) -> g.revision() >= piece.revision()).isEmpty()) {
-			this.gathered = Optional.of(new Gathered(from, piece));
+		if (this.partial.filter((g) -> g.revision() >= piece.revision()).isEmpty()) {
+			this.partial = Optional.of(new PartialSnapshot(from, piece));
 		}
-		Gathered state = this.gathered.get();
-		if (!state.take(from, piece, now)) {
+		PartialSnapshot state = this.partial.get();
+		if (!state.add(from, piece, now)) {
 			return;
 		}
-		if (state.isWhole()) {
-			finish(state);
+		if (state.isComplete()) {
+			complete(state);
 		}
-		else if (state.missing() % StateGiver.WINDOW == 0) {
-			this.questions.accept(from, new StateQuestion(state.revision(), state.missing()));
+		else if (state.firstMissing() % StateGiver.WINDOW == 0) {
+			this.questions.accept(from, new StateQuestion(state.revision(), state.firstMissing()));
 		}
 	}
 
-	private void finish(Gathered state) {
-		this.gathered = Optional.empty();
-		this.form.read(state.bytes()).ifPresent((items) -> {
-			this.asking = false;
+	private void complete(PartialSnapshot state) {
+		this.partial = Optional.empty();
+		this.encoding.read(state.bytes()).ifPresent((items) -> {
+			this.isActive = false;
 			this.receiver.accept(new Taken(state.from(), new StoreState(state.revision(), state.ageMillis(), items)));
 		});
 	}
 
-	private void ask(long now) {
-		if (!this.asking) {
+	private void sendRequests(long now) {
+		if (!this.isActive) {
 			return;
 		}
-		this.gathered = this.gathered.filter((g) -> now - g.heardAt() <= SILENCE_MILLIS);
-		if (this.gathered.isPresent()) {
-			Gathered state = this.gathered.get();
-			this.questions.accept(state.from(), new StateQuestion(state.revision(), state.missing()));
+		this.partial = this.partial.filter((g) -> now - g.receivedAt() <= MAX_SILENCE_MILLIS);
+		if (this.partial.isPresent()) {
+			PartialSnapshot state = this.partial.get();
+			this.questions.accept(state.from(), new StateQuestion(state.revision(), state.firstMissing()));
 		}
 		else {
 			this.peers.get().forEach((p) -> this.questions.accept(p, new StateQuestion(StateQuestion.ANY_REVISION, 0)));
 		}
-		this.timers.at(now + ASK_MILLIS, this::ask);
+		this.timers.at(now + REQUEST_MILLIS, this::sendRequests);
 	}
 
 	/**
-	 * A state that was taken.
+	 * A received snapshot.
 	 *
-	 * @param from the address of the process that handed it over
-	 * @param state the state
+	 * @param from the address of the sender
+	 * @param state the snapshot
 	 */
 	public record Taken(String from, StoreState state) {
 
 	}
 
 	/**
-	 * What was gathered of one state from one process.
+	 * An incomplete snapshot of one revision from one process.
 	 */
-	private static final class Gathered {
+	private static final class PartialSnapshot {
 
 		private final String from;
 
@@ -143,15 +142,15 @@
 
 		private final long ageMillis;
 
-		private final byte[][] pieces;
+		private final byte[][] chunks;
 
-		private long heardAt;
+		private long receivedAt;
 
-		Gathered(String from, StatePiece first) {
+		PartialSnapshot(String from, StatePiece first) {
 			this.from = from;
 			this.revision = first.revision();
 			this.ageMillis = first.ageMillis();
-			this.pieces = new byte[first.count()][];
+			this.chunks = new byte[first.count()][];
 		}
 
 		String from() {
@@ -166,37 +165,37 @@
 			return this.ageMillis;
 		}
 
-		long heardAt() {
-			return this.heardAt;
+		long receivedAt() {
+			return this.receivedAt;
 		}
 
-		// Returns whether the piece belongs here and was missing.
-		boolean take(String sender, StatePiece piece, long now) {
+		// Returns whether the chunk belongs to this snapshot and was missing.
+		boolean add(String sender, StatePiece piece, long now) {
 			boolean isNew = sender.equals(this.from) && piece.revision() == this.revision
-					&& piece.count() == this.pieces.length && this.pieces[piece.number()] == null;
+					&& piece.count() == this.chunks.length && this.chunks[piece.number()] == null;
 			if (isNew) {
-				this.pieces[piece.number()] = piece.data();
-				this.heardAt = now;
+				this.chunks[piece.number()] = piece.data();
+				this.receivedAt = now;
 			}
 			return isNew;
 		}
 
-		// The number of the first piece that is missing.
-		int missing() {
+		// The index of the first missing chunk.
+		int firstMissing() {
 			int first = 0;
-			while (first < this.pieces.length && this.pieces[first] != null) {
+			while (first < this.chunks.length && this.chunks[first] != null) {
 				first++;
 			}
 			return first;
 		}
 
-		boolean isWhole() {
-			return missing() == this.pieces.length;
+		boolean isComplete() {
+			return firstMissing() == this.chunks.length;
 		}
 
 		byte[] bytes() {
 			ByteArrayOutputStream all = new ByteArrayOutputStream();
-			for (byte[] piece : this.pieces) {
+			for (byte[] piece : this.chunks) {
 				all.writeBytes(piece);
 			}
 			return all.toByteArray();
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The handing over of all that one process knows of a store to another that starts while
- * the store is out of its reach.
+ * Snapshot transfer between processes, for a process that starts while the store is
+ * unreachable.
  */
 package dev.laneworks.core.handover;
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenRequests.java
@@ -11,52 +11,54 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * Keeps the requests whose connections broke at a target until it is known whether the
- * target ended.
- * <p>
- * A connection may be reset by a target that lives, by the network or by a machine on the
- * way: of such a request nothing is suspected. Not thread-safe.
+ * Requests whose connection broke, kept until it is known whether the target crashed.
+ *
+ * A connection may also be reset by a live target or by the network; such a request does
+ * not become suspect. Not thread-safe.
  *
  * @since 0.4
  */
 public final class BrokenRequests {
 
 	/**
-	 * For how long after a break the end of the target explains it, in milliseconds: the
-	 * list drops a target after three heartbeats of silence.
+	 * The time within which a crash is attributed to a request after its connection
+	 * broke, in milliseconds; covers the three missed heartbeats after which a target is
+	 * removed from the list.
 	 */
-	static final long EXPLAINED_MILLIS = 4_500;
+	static final long ATTRIBUTION_MILLIS = 4_500;
 
-	/** How long a process that ends may still take connections, in milliseconds. */
-	static final long ENDING_MILLIS = 250;
+	/**
+	 * The time for which a crashing process may still accept connections, in
+	 * milliseconds.
+	 */
+	static final long CRASHING_MILLIS = 250;
 
-	private final Map<TargetRun, List<Broken>> byRun = new HashMap<>();
+	private final Map<TargetRun, List<Broken>> byIncarnation = new HashMap<>();
 
 	/**
-	 * Take that a request broke off.
-	 * @param digest the request
-	 * @param requestId its name
-	 * @param run the run of the target that it was sent to
-	 * @param now the time in milliseconds
-	 * @return whether it is the first one there
+	 * Record that the connection of a request broke.
+	 * @param digest the digest of the request
+	 * @param requestId the id of the request
+	 * @param incarnation the incarnation of the target that executed it
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if it is the only one recorded for this incarnation
 	 */
-	public boolean add(RequestDigest digest, String requestId, TargetRun run, long now) {
-		forgetOld(now);
-		List<Broken> there = this.byRun.computeIfAbsent(run, (r) -> new ArrayList<>());
-		there.add(new Broken(digest, requestId, now));
-		return there.size() == 1;
+	public boolean add(RequestDigest digest, String requestId, TargetRun incarnation, long now) {
+		removeExpired(now);
+		List<Broken> requests = this.byIncarnation.computeIfAbsent(incarnation, (r) -> new ArrayList<>());
+		requests.add(new Broken(digest, requestId, now));
+		return requests.size() == 1;
 	}
 
 	/**
-	 * Return where a request broke off of which it is not known yet whether the target
-	 * ended.
-	 * @param digest the request
-	 * @param now the time in milliseconds
-	 * @return the runs of the targets
+	 * Return where a request broke off and the state of the target is not known yet.
+	 * @param digest the digest of the request
+	 * @param now the current time in milliseconds
+	 * @return the incarnations of the targets
 	 */
 	public Set<TargetRun> brokenOffAt(RequestDigest digest, long now) {
-		forgetOld(now);
-		return this.byRun.entrySet()
+		removeExpired(now);
+		return this.byIncarnation.entrySet()
 			.stream()
 			.filter((e) -> e.getValue().stream().anyMatch((b) -> b.digest().equals(digest)))
 			.map(Map.Entry::getKey)
@@ -64,49 +66,50 @@
 	}
 
 	/**
-	 * Take that a target ended.
-	 * @param run the run of the target
-	 * @param now the time in milliseconds
-	 * @return the requests that broke off there, which are not kept any more
+	 * Handle the end of a target and remove its requests.
+	 * @param incarnation the incarnation of the target
+	 * @param now the current time in milliseconds
+	 * @return the requests that broke off there recently enough
 	 */
-	public List<Broken> endOf(TargetRun run, long now) {
-		forgetOld(now);
-		List<Broken> there = this.byRun.remove(run);
-		return (there != null) ? there : List.of();
+	public List<Broken> endOf(TargetRun incarnation, long now) {
+		removeExpired(now);
+		List<Broken> requests = this.byIncarnation.remove(incarnation);
+		return (requests != null) ? requests : List.of();
 	}
 
 	/**
-	 * Take that a target takes connections: what broke off a while ago did so of another
-	 * cause than its end. One that is ending may still take some.
-	 * @param run the run of the target
-	 * @param now the time in milliseconds
+	 * Handle a connection that a target accepted. Earlier breaks then have another cause
+	 * than a crash, except for the latest ones, since a crashing process may still accept
+	 * connections.
+	 * @param incarnation the incarnation of the target
+	 * @param now the current time in milliseconds
 	 */
-	public void isAlive(TargetRun run, long now) {
-		Optional.ofNullable(this.byRun.get(run))
-			.ifPresent((there) -> there.removeIf((b) -> now - b.brokenAt() >= ENDING_MILLIS));
-		forgetOld(now);
+	public void isAlive(TargetRun incarnation, long now) {
+		Optional.ofNullable(this.byIncarnation.get(incarnation))
+			.ifPresent((requests) -> requests.removeIf((b) -> now - b.brokenAt() >= CRASHING_MILLIS));
+		removeExpired(now);
 	}
 
 	/**
-	 * Take that a target told of its end before: nothing that broke off there is
-	 * suspected.
-	 * @param run the run of the target
+	 * Remove the requests of a target that announced its end, since they did not crash
+	 * it.
+	 * @param incarnation the incarnation of the target
 	 */
-	public void forget(TargetRun run) {
-		this.byRun.remove(run);
+	public void forget(TargetRun incarnation) {
+		this.byIncarnation.remove(incarnation);
 	}
 
-	private void forgetOld(long now) {
-		this.byRun.values().forEach((l) -> l.removeIf((b) -> now - b.brokenAt() > EXPLAINED_MILLIS));
-		this.byRun.values().removeIf(List::isEmpty);
+	private void removeExpired(long now) {
+		this.byIncarnation.values().forEach((l) -> l.removeIf((b) -> now - b.brokenAt() > ATTRIBUTION_MILLIS));
+		this.byIncarnation.values().removeIf(List::isEmpty);
 	}
 
 	/**
-	 * A request that broke off.
+	 * A request whose connection broke.
 	 *
-	 * @param digest the request
-	 * @param requestId its name
-	 * @param brokenAt when it broke off, in milliseconds
+	 * @param digest the digest of the request
+	 * @param requestId the id of the request
+	 * @param brokenAt the time at which the connection broke, in milliseconds
 	 */
 	public record Broken(RequestDigest digest, String requestId, long brokenAt) {
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/EndedRun.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/EndedRun.java
@@ -5,10 +5,10 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * A run of a target that ended while it worked on a request.
+ * Incarnation of a target that crashed while executing a request.
  *
- * @param run the run
- * @param ageMillis how long ago it ended, in milliseconds
+ * @param run the incarnation of the target
+ * @param ageMillis the time since the crash, in milliseconds
  * @since 0.4
  */
 public record EndedRun(TargetRun run, long ageMillis) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/Suspect.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/Suspect.java
@@ -9,76 +9,77 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * A request under which targets ended.
+ * State of a request during whose execution targets crashed.
  */
 final class Suspect {
 
-	/** The most runs that are kept; the first ones give way. */
-	private static final int MOST_RUNS = 12;
+	/** The most incarnations to keep; the earliest are dropped first. */
+	private static final int MAX_INCARNATIONS = 12;
 
-	/** When each run ended, the last one heard of last. */
-	private final Map<TargetRun, Long> endedAt = new LinkedHashMap<>();
+	/** The time of each crash, in the order of recording. */
+	private final Map<TargetRun, Long> crashTimes = new LinkedHashMap<>();
 
-	private OptionalLong soundAt = OptionalLong.empty();
+	private OptionalLong completedAt = OptionalLong.empty();
 
-	private long lastEndAt = Long.MIN_VALUE / 2;
+	private long lastCrashAt = Long.MIN_VALUE / 2;
 
 	/**
-	 * Take that a run ended under the request.
-	 * @param run the run
-	 * @param at when it ended
-	 * @return whether that is new, and not before the request last ran whole
+	 * Record that a target crashed while executing the request.
+	 * @param incarnation the incarnation of the target
+	 * @param at the time of the crash in milliseconds
+	 * @return {@code true} if it is new and after the latest completion of the request
 	 */
-	boolean ended(TargetRun run, long at) {
-		boolean isOver = this.soundAt.isPresent() && at <= this.soundAt.getAsLong();
-		if (isOver || this.endedAt.containsKey(run)) {
+	boolean recordCrash(TargetRun incarnation, long at) {
+		boolean isRefuted = this.completedAt.isPresent() && at <= this.completedAt.getAsLong();
+		if (isRefuted || this.crashTimes.containsKey(incarnation)) {
 			return false;
 		}
-		if (this.endedAt.size() == MOST_RUNS) {
-			this.endedAt.remove(this.endedAt.keySet().iterator().next());
+		if (this.crashTimes.size() == MAX_INCARNATIONS) {
+			this.crashTimes.remove(this.crashTimes.keySet().iterator().next());
 		}
-		this.endedAt.put(run, at);
-		this.lastEndAt = Math.max(this.lastEndAt, at);
+		this.crashTimes.put(incarnation, at);
+		this.lastCrashAt = Math.max(this.lastCrashAt, at);
 		return true;
 	}
 
 	/**
-	 * Take that the request ran whole: what ended before ended of another cause.
-	 * @param at when it had run
-	 * @return whether runs that had ended count no more
+	 * Record that the request completed, which refutes it as the cause of earlier
+	 * crashes.
+	 * @param at the time of completion in milliseconds
+	 * @return {@code true} if recorded crashes were removed
 	 */
-	boolean ranWhole(long at) {
-		if (this.soundAt.isEmpty() || this.soundAt.getAsLong() < at) {
-			this.soundAt = OptionalLong.of(at);
+	boolean recordCompletion(long at) {
+		if (this.completedAt.isEmpty() || this.completedAt.getAsLong() < at) {
+			this.completedAt = OptionalLong.of(at);
 		}
-		return this.endedAt.values().removeIf((t) -> t <= at);
+		return this.crashTimes.values().removeIf((t) -> t <= at);
 	}
 
-	boolean hasRunWhole() {
-		return this.soundAt.isPresent();
+	boolean hasCompleted() {
+		return this.completedAt.isPresent();
 	}
 
-	int ends() {
-		return this.endedAt.size();
+	int crashCount() {
+		return this.crashTimes.size();
 	}
 
-	// When the last of the runs ended.
-	long lastEndAt() {
-		return this.lastEndAt;
+	// The time of the latest crash.
+	long lastCrashAt() {
+		return this.lastCrashAt;
 	}
 
-	Set<TargetRun> runs() {
-		return this.endedAt.keySet();
+	Set<TargetRun> incarnations() {
+		return this.crashTimes.keySet();
 	}
 
 	SuspectReport report(RequestDigest digest, long now) {
-		List<EndedRun> ends = this.endedAt.entrySet()
+		List<EndedRun> ends = this.crashTimes.entrySet()
 			.stream()
 			.map((e) -> new EndedRun(e.getKey(), Math.max(0, now - e.getValue())))
 			.toList();
-		OptionalLong soundAge = this.soundAt.isPresent() ? OptionalLong.of(Math.max(0, now - this.soundAt.getAsLong()))
-				: OptionalLong.empty();
-		return new SuspectReport(digest, ends, soundAge);
+		OptionalLong completionAge = this.completedAt.isPresent()
+				? OptionalLong.of(Math.max(0, now - this.completedAt.getAsLong())) : OptionalLong.empty();
+		return new SuspectReport(digest, ends, completionAge);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectGossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectGossip.java
@@ -16,48 +16,47 @@
 import dev.laneworks.core.time.Timers;
 
 /**
- * Tells other entries of requests under which targets end, so that none has to find out
- * by targets of its own.
- * <p>
- * What this entry saw is told to all at once, soon and in the next beats again; what it
- * knows, be it of others, goes to entries that it has not told yet and to a few by chance
- * each beat, so that every entry hears of it though news are lost and though the one that
- * saw it ends. Nothing is sent while nothing is suspected. Not thread-safe.
+ * Reports suspect requests to other entries, so that each entry need not lose targets of
+ * its own to find them.
+ *
+ * Observations of this entry are sent to all entries at once and repeated soon after and
+ * in the next rounds. Each round also sends all reports to new entries and to a few
+ * random ones, so that every entry receives them despite lost datagrams and the end of
+ * the reporting entry. Nothing is sent while no request is suspect. Not thread-safe.
  *
  * @since 0.4
  */
 public final class SuspectGossip {
 
-	/** How often what is known is told again, in milliseconds. */
-	static final long BEAT_MILLIS = 1_000;
+	/** The interval between rounds, in milliseconds. */
+	static final long ROUND_MILLIS = 1_000;
 
 	/**
-	 * In how many beats it is told to all again what this entry saw: with one datagram in
-	 * ten lost, 500 fleets of four entries all knew of three ends after three seconds.
+	 * The number of rounds that repeat an observation to all entries; makes up for lost
+	 * datagrams.
 	 */
-	private static final int REPEATED = 2;
+	private static final int REPEAT_ROUNDS = 2;
 
 	/**
-	 * How soon it is told again, in milliseconds. With one datagram in thirty lost, a
-	 * request that comes again at once met an entry in the meantime that knew nothing of
-	 * its third end, in one fleet of three.
+	 * The delay of the first repetition, in milliseconds; makes up for a lost datagram
+	 * before the request is repeated at another entry.
 	 */
-	private static final long SOON_MILLIS = 50;
+	private static final long FIRST_REPEAT_MILLIS = 50;
 
-	/** How many entries are told by chance each beat. */
-	static final int TOLD_BY_CHANCE = 2;
+	/** The number of random receivers in each round. */
+	static final int RANDOM_RECEIVERS = 2;
 
 	/**
-	 * For how long a request under which one target ended is told of, in milliseconds:
-	 * many sound ones are among them, as all that run at a target end with it.
+	 * The time for which a request with a single crash is reported, in milliseconds. Most
+	 * of these requests are harmless, since a crash affects all requests at the target.
 	 */
-	private static final long LONE_END_MILLIS = 5_000;
+	private static final long SINGLE_CRASH_MILLIS = 5_000;
 
-	/** The most requests that are told of at once. */
-	private static final int MOST_TOLD = 256;
+	/** The most reports in one round. */
+	private static final int MAX_REPORTS = 256;
 
-	/** How many go into one datagram, of some 120 bytes each. */
-	private static final int IN_ONE = 64;
+	/** The most reports in one datagram, of about 120 bytes each. */
+	private static final int REPORTS_PER_DATAGRAM = 64;
 
 	private final SuspectRequests suspects;
 
@@ -69,21 +68,21 @@
 
 	private final RandomGenerator random;
 
-	/** What this entry saw since it told of that last. */
-	private final Set<RequestDigest> untold = new LinkedHashSet<>();
+	/** Observations of this entry that were not sent yet. */
+	private final Set<RequestDigest> unsent = new LinkedHashSet<>();
 
-	/** What it told of, with the beats in which that is repeated. */
-	private final Map<RequestDigest, Integer> toRepeat = new LinkedHashMap<>();
+	/** Observations that were sent, with the number of rounds that still repeat them. */
+	private final Map<RequestDigest, Integer> repeats = new LinkedHashMap<>();
 
-	private Set<String> known = Set.of();
+	private Set<String> previousEntries = Set.of();
 
 	/**
-	 * Create an entry's part; {@link #start} begins it.
-	 * @param suspects what is known
-	 * @param entries gives the addresses of all other entries that are known
-	 * @param output sends reports to addresses; they may be lost on their way
-	 * @param timers what is due later
-	 * @param random chooses among entries
+	 * Create the gossip of an entry; {@link #start} begins it.
+	 * @param suspects the suspect requests
+	 * @param entries supplies the addresses of all other known entries
+	 * @param output sends reports to addresses, without a guarantee of delivery
+	 * @param timers schedules the rounds
+	 * @param random selects the random receivers
 	 */
 	public SuspectGossip(SuspectRequests suspects, Supplier<List<String>> entries,
 			BiConsumer<Collection<String>, List<SuspectReport>> output, Timers timers, RandomGenerator random) {
@@ -95,44 +94,44 @@
 	}
 
 	/**
-	 * Tell from now on.
-	 * @param now the time in milliseconds
+	 * Start the rounds.
+	 * @param now the current time in milliseconds
 	 */
 	public void start(long now) {
 		List<String> all = this.entries.get();
-		send(all, reportsOf(this.toRepeat.keySet(), now));
-		this.toRepeat.replaceAll((d, beats) -> beats - 1);
-		this.toRepeat.values().removeIf((beats) -> beats == 0);
+		send(all, reportsOf(this.repeats.keySet(), now));
+		this.repeats.replaceAll((d, rounds) -> rounds - 1);
+		this.repeats.values().removeIf((rounds) -> rounds == 0);
 		Set<String> receivers = new HashSet<>(all);
-		receivers.removeAll(this.known);
-		for (int i = 0; i < TOLD_BY_CHANCE && !all.isEmpty(); i++) {
+		receivers.removeAll(this.previousEntries);
+		for (int i = 0; i < RANDOM_RECEIVERS && !all.isEmpty(); i++) {
 			receivers.add(all.get(this.random.nextInt(all.size())));
 		}
-		this.known = Set.copyOf(all);
+		this.previousEntries = Set.copyOf(all);
 		if (!receivers.isEmpty()) {
-			send(receivers, this.suspects.reports(LONE_END_MILLIS, MOST_TOLD, now));
+			send(receivers, this.suspects.reports(SINGLE_CRASH_MILLIS, MAX_REPORTS, now));
 		}
-		this.timers.at(now + BEAT_MILLIS, this::start);
+		this.timers.at(now + ROUND_MILLIS, this::start);
 	}
 
 	/**
-	 * Take that this entry saw something new of a request.
-	 * @param digest the request
-	 * @param now the time in milliseconds
+	 * Report an observation of this entry.
+	 * @param digest the digest of the request
+	 * @param now the current time in milliseconds
 	 */
 	public void saw(RequestDigest digest, long now) {
-		if (this.untold.isEmpty()) {
-			this.timers.at(now, this::tell);
+		if (this.unsent.isEmpty()) {
+			this.timers.at(now, this::sendUnsent);
 		}
-		this.untold.add(digest);
+		this.unsent.add(digest);
 	}
 
-	private void tell(long now) {
-		Set<RequestDigest> told = Set.copyOf(this.untold);
-		this.untold.clear();
-		send(this.entries.get(), reportsOf(told, now));
-		told.forEach((d) -> this.toRepeat.put(d, REPEATED));
-		this.timers.at(now + SOON_MILLIS, (t) -> send(this.entries.get(), reportsOf(told, t)));
+	private void sendUnsent(long now) {
+		Set<RequestDigest> observed = Set.copyOf(this.unsent);
+		this.unsent.clear();
+		send(this.entries.get(), reportsOf(observed, now));
+		observed.forEach((d) -> this.repeats.put(d, REPEAT_ROUNDS));
+		this.timers.at(now + FIRST_REPEAT_MILLIS, (t) -> send(this.entries.get(), reportsOf(observed, t)));
 	}
 
 	private List<SuspectReport> reportsOf(Set<RequestDigest> digests, long now) {
@@ -142,8 +141,8 @@
 	}
 
 	private void send(Collection<String> addresses, List<SuspectReport> reports) {
-		for (int i = 0; i < reports.size() && !addresses.isEmpty(); i += IN_ONE) {
-			this.output.accept(addresses, reports.subList(i, Math.min(reports.size(), i + IN_ONE)));
+		for (int i = 0; i < reports.size() && !addresses.isEmpty(); i += REPORTS_PER_DATAGRAM) {
+			this.output.accept(addresses, reports.subList(i, Math.min(reports.size(), i + REPORTS_PER_DATAGRAM)));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectListener.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectListener.java
@@ -3,32 +3,33 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * Hears of requests under which targets end.
+ * Listener for changes of suspect requests.
  *
  * @since 0.4
  */
 public interface SuspectListener {
 
 	/**
-	 * Hear that a target ended under a request.
-	 * @param digest the request
-	 * @param run the run of the target, not heard of with this request before
-	 * @param ends how many runs have ended under it since it last ran whole
-	 * @param now the time in milliseconds
+	 * Handle a crash of a target while it executed a request.
+	 * @param digest the digest of the request
+	 * @param incarnation the incarnation of the target, reported for the first time with
+	 * this request
+	 * @param ends the number of crashes since the request last completed
+	 * @param now the current time in milliseconds
 	 */
-	void ended(RequestDigest digest, TargetRun run, int ends, long now);
+	void ended(RequestDigest digest, TargetRun incarnation, int ends, long now);
 
 	/**
-	 * Hear that a request is kept from targets from now on.
-	 * @param digest the request
-	 * @param now the time in milliseconds
+	 * Handle the quarantine of a request, which must not be sent to targets from now on.
+	 * @param digest the digest of the request
+	 * @param now the current time in milliseconds
 	 */
 	void quarantined(RequestDigest digest, long now);
 
 	/**
-	 * Hear that a request under which targets had ended ran whole.
-	 * @param digest the request
-	 * @param now the time in milliseconds
+	 * Handle the completion of a request that was suspect.
+	 * @param digest the digest of the request
+	 * @param now the current time in milliseconds
 	 */
 	void cleared(RequestDigest digest, long now);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectReport.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectReport.java
@@ -5,13 +5,13 @@
 import java.util.OptionalLong;
 
 /**
- * What one process tells others of a request under which targets ended.
+ * Report of a suspect request that one process sends to others.
  *
- * @param digest the request
- * @param ends the runs of targets that ended under it, since it last ran whole as far as
- * the teller knows
- * @param soundAgeMillis how long ago it last ran whole, in milliseconds; empty if that is
- * not known
+ * @param digest the digest of the request
+ * @param ends the incarnations of targets that crashed while executing the request, since
+ * its latest completion known to the sender
+ * @param soundAgeMillis the time since its latest completion, in milliseconds; empty if
+ * none is known
  * @since 0.4
  */
 public record SuspectReport(RequestDigest digest, List<EndedRun> ends, OptionalLong soundAgeMillis) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -12,48 +12,45 @@
 import dev.laneworks.core.directory.TargetRun;
 
 /**
- * Tells which requests are kept from targets because targets end under them.
- * <p>
- * A request is known by what it asks for and by its caller, so that it is known again
- * when it comes under another name. Runs of targets that ended under it are counted,
- * those that others saw included; once there are enough the request is quarantined.
- * Whoever runs whole ends no target: what was counted before counts no more. Not
- * thread-safe.
+ * Registry of requests during whose execution targets crashed, which quarantines them
+ * after too many crashes.
+ *
+ * A request is identified by its content and its client account, so that it is recognized
+ * under another id. Crashes that other entries observed count as well. A completed
+ * execution clears a request of all earlier crashes. Not thread-safe.
  *
  * @since 0.4
  */
 public final class SuspectRequests {
 
 	/**
-	 * How many times more ends it takes where a request has run whole before. Callers
-	 * that ask the same three times a second met three ends in a row, where a target
-	 * ended each half a second, and their next request would have run whole.
+	 * The factor for the required crashes of a request that completed before, which may
+	 * be hit by unrelated crashes in a row if clients repeat it often.
 	 */
-	private static final int SOUND_FACTOR = 2;
+	private static final int COMPLETED_FACTOR = 2;
 
 	/**
-	 * For how long a request is quarantined at first that has run whole before, in
-	 * milliseconds; each further end doubles the time. Many targets may end at once under
-	 * a request that its callers repeat all the time.
+	 * The first quarantine of a request that completed before, in milliseconds; each
+	 * further crash doubles it.
 	 */
-	static final long TRIAL_MILLIS = 2_000;
+	static final long FIRST_QUARANTINE_MILLIS = 2_000;
 
-	/** The most requests that are kept, some 0.3 KB each. */
-	static final int MOST_SUSPECTS = 4_096;
+	/** The most requests to keep; bounds the memory. */
+	static final int MAX_SUSPECTS = 4_096;
 
-	/** By their last end, the earliest first. */
+	/** Ordered by latest crash, the earliest first. */
 	private final Map<RequestDigest, Suspect> suspects = new LinkedHashMap<>();
 
-	private final SoundRequests sound = new SoundRequests();
+	private final CompletedRequests completed = new CompletedRequests();
 
 	private final PoisonSettings settings;
 
 	private final SuspectListener listener;
 
 	/**
-	 * Create an empty table.
-	 * @param settings how many ends it takes and for how long they count
-	 * @param listener hears of changes
+	 * Create an empty registry.
+	 * @param settings the number of crashes for a quarantine and their lifetime
+	 * @param listener receives each change
 	 */
 	public SuspectRequests(PoisonSettings settings, SuspectListener listener) {
 		this.settings = Objects.requireNonNull(settings, "settings must not be null");
@@ -61,29 +58,29 @@
 	}
 
 	/**
-	 * Take that a run of a target ended under a request.
-	 * @param digest the request
-	 * @param run the run
-	 * @param at when it ended, in milliseconds
-	 * @param now the time in milliseconds
-	 * @return whether that was not known
+	 * Record that a target crashed while executing a request.
+	 * @param digest the digest of the request
+	 * @param incarnation the incarnation of the target
+	 * @param at the time of the crash in milliseconds
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if the crash was not recorded before
 	 */
-	public boolean ended(RequestDigest digest, TargetRun run, long at, long now) {
+	public boolean ended(RequestDigest digest, TargetRun incarnation, long at, long now) {
 		if (now - at > this.settings.quarantineMillis()) {
 			return false;
 		}
 		Suspect suspect = this.suspects.computeIfAbsent(digest, (d) -> new Suspect());
-		if (!suspect.hasRunWhole() && this.sound.contains(digest)) {
-			suspect.ranWhole(at - 1);
+		if (!suspect.hasCompleted() && this.completed.contains(digest)) {
+			suspect.recordCompletion(at - 1);
 		}
 		boolean wasQuarantined = isQuarantined(suspect, now);
-		if (!suspect.ended(run, at)) {
+		if (!suspect.recordCrash(incarnation, at)) {
 			return false;
 		}
 		this.suspects.remove(digest);
 		this.suspects.put(digest, suspect);
-		makeRoom(now);
-		this.listener.ended(digest, run, suspect.ends(), now);
+		evictExcess(now);
+		this.listener.ended(digest, incarnation, suspect.crashCount(), now);
 		if (!wasQuarantined && isQuarantined(suspect, now)) {
 			this.listener.quarantined(digest, now);
 		}
@@ -91,16 +88,16 @@
 	}
 
 	/**
-	 * Take that a request ran whole, or for so long that it can't be what ends targets at
-	 * its beginning.
-	 * @param digest the request
-	 * @param now the time in milliseconds
-	 * @return whether targets had ended under it, as was believed
+	 * Record that a request completed, or that it ran for so long that it cannot be the
+	 * cause of crashes.
+	 * @param digest the digest of the request
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if the request was suspect
 	 */
 	public boolean ranWhole(RequestDigest digest, long now) {
-		this.sound.add(digest);
+		this.completed.add(digest);
 		Suspect suspect = this.suspects.get(digest);
-		if (suspect == null || !suspect.ranWhole(now)) {
+		if (suspect == null || !suspect.recordCompletion(now)) {
 			return false;
 		}
 		this.listener.cleared(digest, now);
@@ -108,15 +105,15 @@
 	}
 
 	/**
-	 * Take what another process tells. That the request ran whole is heard first, since
-	 * it says of the ends before it that they had another cause.
-	 * @param report its word
-	 * @param now the time in milliseconds
+	 * Handle the report of another process. The completion is applied first, because it
+	 * refutes the request as the cause of earlier crashes.
+	 * @param report the report
+	 * @param now the current time in milliseconds
 	 */
 	public void heard(SuspectReport report, long now) {
 		RequestDigest digest = report.digest();
 		report.soundAgeMillis().ifPresent((age) -> {
-			boolean isCleared = this.suspects.computeIfAbsent(digest, (d) -> new Suspect()).ranWhole(now - age);
+			boolean isCleared = this.suspects.computeIfAbsent(digest, (d) -> new Suspect()).recordCompletion(now - age);
 			if (isCleared) {
 				this.listener.cleared(digest, now);
 			}
@@ -125,9 +122,9 @@
 	}
 
 	/**
-	 * Return for how long a request is still kept from targets.
-	 * @param digest the request
-	 * @param now the time in milliseconds
+	 * Return the remaining quarantine of a request.
+	 * @param digest the digest of the request
+	 * @param now the current time in milliseconds
 	 * @return milliseconds; empty if it may be sent
 	 */
 	public OptionalLong quarantinedFor(RequestDigest digest, long now) {
@@ -135,11 +132,11 @@
 		if (suspect == null || !isQuarantined(suspect, now)) {
 			return OptionalLong.empty();
 		}
-		return OptionalLong.of(suspect.lastEndAt() + quarantineMillis(suspect) - now);
+		return OptionalLong.of(suspect.lastCrashAt() + quarantineMillis(suspect) - now);
 	}
 
 	/**
-	 * Return by what requests are suspected here.
+	 * Return the settings of this registry.
 	 * @return the settings
 	 */
 	public PoisonSettings settings() {
@@ -147,27 +144,31 @@
 	}
 
 	/**
-	 * Return how many more ends it takes until a request is quarantined.
-	 * @param digest the request
-	 * @return the count, none where there are enough
+	 * Return the number of further crashes until a request is quarantined.
+	 * @param digest the digest of the request
+	 * @return the count; 0 if there are enough
 	 */
 	public int endsMissing(RequestDigest digest) {
 		Suspect suspect = this.suspects.get(digest);
-		return (suspect != null) ? Math.max(0, endsNeeded(suspect) - suspect.ends()) : this.settings.endsToQuarantine();
+		return (suspect != null) ? Math.max(0, requiredCrashes(suspect) - suspect.crashCount())
+				: this.settings.endsToQuarantine();
 	}
 
 	/**
-	 * Return the runs of targets that ended under a request since it last ran whole.
-	 * @param digest the request
-	 * @return the runs, as far as they are known
+	 * Return the targets that crashed while executing a request since it last completed.
+	 * @param digest the digest of the request
+	 * @return the recorded incarnations
 	 */
 	public Set<TargetRun> endedUnder(RequestDigest digest) {
-		return Optional.ofNullable(this.suspects.get(digest)).map(Suspect::runs).map(Set::copyOf).orElse(Set.of());
+		return Optional.ofNullable(this.suspects.get(digest))
+			.map(Suspect::incarnations)
+			.map(Set::copyOf)
+			.orElse(Set.of());
 	}
 
 	/**
-	 * Return how many requests are quarantined.
-	 * @param now the time in milliseconds
+	 * Return the number of quarantined requests.
+	 * @param now the current time in milliseconds
 	 * @return the count
 	 */
 	public long quarantined(long now) {
@@ -175,76 +176,78 @@
 	}
 
 	/**
-	 * Return what is known of one request.
-	 * @param digest the request
-	 * @param now the time in milliseconds
-	 * @return the report, if any target ended under it
+	 * Create a report of one request.
+	 * @param digest the digest of the request
+	 * @param now the current time in milliseconds
+	 * @return the report; empty if the request has no record
 	 */
 	public Optional<SuspectReport> report(RequestDigest digest, long now) {
 		return Optional.ofNullable(this.suspects.get(digest)).map((s) -> s.report(digest, now));
 	}
 
 	/**
-	 * Return what others are to know: the requests under which more than one target
-	 * ended, and those of the last moments.
-	 * @param lateMillis how long the last moments are, in milliseconds
-	 * @param most how many requests at the most, those with the latest ends
-	 * @param now the time in milliseconds
-	 * @return a report for each
+	 * Create reports of all requests with more than one crash, and of those with a single
+	 * recent crash.
+	 * @param recentMillis the age up to which a single crash is recent, in milliseconds
+	 * @param limit the most reports, for the requests with the latest crashes
+	 * @param now the current time in milliseconds
+	 * @return the reports
 	 */
-	public List<SuspectReport> reports(long lateMillis, int most, long now) {
-		forgetOld(now);
+	public List<SuspectReport> reports(long recentMillis, int limit, long now) {
+		removeExpired(now);
 		List<SuspectReport> all = this.suspects.entrySet()
 			.stream()
-			.filter((e) -> e.getValue().ends() > 1
-					|| (e.getValue().ends() == 1 && now - e.getValue().lastEndAt() <= lateMillis))
+			.filter((e) -> e.getValue().crashCount() > 1
+					|| (e.getValue().crashCount() == 1 && now - e.getValue().lastCrashAt() <= recentMillis))
 			.map((e) -> e.getValue().report(e.getKey(), now))
 			.toList();
-		return all.subList(Math.max(0, all.size() - most), all.size());
+		return all.subList(Math.max(0, all.size() - limit), all.size());
 	}
 
 	/**
-	 * Return how many requests are kept in mind.
-	 * @return the count, never above {@value #MOST_SUSPECTS}
+	 * Return the number of recorded requests.
+	 * @return the count, at most {@value #MAX_SUSPECTS}
 	 */
 	int size() {
 		return this.suspects.size();
 	}
 
 	private boolean isQuarantined(Suspect suspect, long now) {
-		return suspect.ends() >= endsNeeded(suspect) && now < suspect.lastEndAt() + quarantineMillis(suspect);
+		return suspect.crashCount() >= requiredCrashes(suspect)
+				&& now < suspect.lastCrashAt() + quarantineMillis(suspect);
 	}
 
-	private int endsNeeded(Suspect suspect) {
-		return this.settings.endsToQuarantine() * (suspect.hasRunWhole() ? SOUND_FACTOR : 1);
+	private int requiredCrashes(Suspect suspect) {
+		return this.settings.endsToQuarantine() * (suspect.hasCompleted() ? COMPLETED_FACTOR : 1);
 	}
 
 	private long quarantineMillis(Suspect suspect) {
-		return suspect.hasRunWhole()
-				? Math.min(this.settings.quarantineMillis(), TRIAL_MILLIS << (suspect.ends() - endsNeeded(suspect)))
+		return suspect.hasCompleted()
+				? Math.min(this.settings.quarantineMillis(),
+						FIRST_QUARANTINE_MILLIS << (suspect.crashCount() - requiredCrashes(suspect)))
 				: this.settings.quarantineMillis();
 	}
 
-	private void makeRoom(long now) {
-		if (this.suspects.size() <= MOST_SUSPECTS) {
+	private void evictExcess(long now) {
+		if (this.suspects.size() <= MAX_SUSPECTS) {
 			return;
 		}
-		forgetOld(now);
+		removeExpired(now);
 		Iterator<Suspect> earliestFirst = this.suspects.values().iterator();
-		while (this.suspects.size() > MOST_SUSPECTS && earliestFirst.hasNext()) {
+		while (this.suspects.size() > MAX_SUSPECTS && earliestFirst.hasNext()) {
 			if (!isQuarantined(earliestFirst.next(), now)) {
 				earliestFirst.remove();
 			}
 		}
 		Iterator<RequestDigest> all = this.suspects.keySet().iterator();
-		while (this.suspects.size() > MOST_SUSPECTS) {
+		while (this.suspects.size() > MAX_SUSPECTS) {
 			all.next();
 			all.remove();
 		}
 	}
 
-	private void forgetOld(long now) {
-		this.suspects.values().removeIf((s) -> now - s.lastEndAt() > this.settings.quarantineMillis());
+	private void removeExpired(long now) {
+		this.suspects.values().removeIf((s) -> now - s.lastCrashAt() > this.settings.quarantineMillis());
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Finds requests under which targets end, and keeps them from further targets.
+ * Detection and quarantine of requests that crash targets.
  */
 package dev.laneworks.core.poison;
--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/Backoff.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/Backoff.java
@@ -4,7 +4,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spreads retries over time: the wait doubles with each attempt and half of it is random.
+ * Exponential backoff with jitter, in which half of each delay is random.
  *
  * @since 0.1
  */
@@ -20,8 +20,8 @@
 
 	/**
 	 * Create a backoff.
-	 * @param first the wait before the first retry
-	 * @param max the greatest wait
+	 * @param first the delay before the first retry
+	 * @param max the longest delay
 	 * @param random the source of jitter
 	 */
 	public Backoff(Duration first, Duration max, RandomGenerator random) {
@@ -34,9 +34,9 @@
 	}
 
 	/**
-	 * Return the wait before a retry.
+	 * Compute the delay before a retry.
 	 * @param retry the number of the retry, from 1
-	 * @return the wait in milliseconds
+	 * @return the delay in milliseconds
 	 */
 	public long delayMillis(int retry) {
 		long full = Math.min(this.maxMillis, this.firstMillis << Math.min(MAX_SHIFT, retry - 1));
@@ -44,9 +44,9 @@
 	}
 
 	/**
-	 * Return a wait between half of a time and the whole of it.
-	 * @param millis the time in milliseconds
-	 * @return the wait in milliseconds
+	 * Apply jitter to a delay.
+	 * @param millis the full delay in milliseconds
+	 * @return a random delay between half of the full one and all of it, in milliseconds
 	 */
 	public long spread(long millis) {
 		long half = Math.max(1, millis / 2);
--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/RetryBudget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/RetryBudget.java
@@ -1,11 +1,11 @@
 package dev.laneworks.core.retry;
 
 /**
- * Allows retries as a share of recent successes, so that an outage does not multiply
- * load.
- * <p>
- * Each success adds a share of one retry; each retry takes one. A small rate refills the
- * budget when there is little traffic. Not thread-safe.
+ * Token bucket that limits retries to a share of recent successes, so that an outage does
+ * not multiply load.
+ *
+ * Each success adds a fraction of a retry, and each retry uses one. A low rate refills
+ * the budget in times of little traffic. Not thread-safe.
  *
  * @since 0.1
  */
@@ -25,8 +25,8 @@
 
 	/**
 	 * Create a full budget.
-	 * @param sharePerSuccess retries earned by one success, from 0 to 1
-	 * @param refillPerSecond retries earned by one second
+	 * @param sharePerSuccess the retries earned by one success, from 0 to 1
+	 * @param refillPerSecond the retries earned per second
 	 * @param capacity the most retries saved up
 	 */
 	public RetryBudget(double sharePerSuccess, double refillPerSecond, double capacity) {
@@ -45,17 +45,15 @@
 		this.balance = capacity;
 	}
 
-	/**
-	 * Record a success.
-	 */
+	/** Record a success. */
 	public void recordSuccess() {
 		this.balance = Math.min(this.capacity, this.balance + this.sharePerSuccess);
 	}
 
 	/**
-	 * Take one retry if there is one.
-	 * @param now the time in milliseconds
-	 * @return {@code false} if the budget is spent
+	 * Use one retry if one is available.
+	 * @param now the current time in milliseconds
+	 * @return {@code false} if the budget is exhausted
 	 */
 	public boolean tryTake(long now) {
 		refill(now);
@@ -67,8 +65,8 @@
 	}
 
 	/**
-	 * Return the number of retries that could be taken now.
-	 * @return the balance
+	 * Return the number of available retries.
+	 * @return the balance, as of the latest call of {@link #tryTake}
 	 */
 	public double balance() {
 		return this.balance;
--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/TargetHealth.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/TargetHealth.java
@@ -1,79 +1,77 @@
 package dev.laneworks.core.retry;
 
 /**
- * Sets a target aside after failures in a row and tries it again gently.
- * <p>
- * While set aside the target gets no work. When the time is over one request is let
- * through as a trial; its success takes the target back, its failure sets it aside for
- * longer. Not thread-safe.
+ * Outlier ejection of one target after consecutive failures.
+ *
+ * An ejected target receives no requests. When the ejection period is over, a single
+ * request is sent as a trial. Its success returns the target to service; its failure
+ * starts a longer period. Not thread-safe.
  *
  * @since 0.1
  */
 public final class TargetHealth {
 
-	private static final int FAILURES_TO_SET_ASIDE = 3;
+	private static final int FAILURES_TO_EJECT = 3;
 
-	private static final long FIRST_ASIDE_MILLIS = 1_000;
+	private static final long FIRST_EJECTION_MILLIS = 1_000;
 
-	private static final long MAX_ASIDE_MILLIS = 30_000;
+	private static final long MAX_EJECTION_MILLIS = 30_000;
 
 	private int failuresInRow;
 
-	private long asideMillis;
+	private long ejectionMillis;
 
-	private long asideUntil;
+	private long ejectedUntil;
 
-	private boolean trialUnderWay;
+	private boolean trialInProgress;
 
 	/**
-	 * Return whether a request may go to the target.
-	 * @param now the time in milliseconds
-	 * @return {@code false} while it is set aside or on trial
+	 * Determine whether a request may be sent to the target.
+	 * @param now the current time in milliseconds
+	 * @return {@code false} while the target is ejected or a trial is in progress
 	 */
 	public boolean isUsable(long now) {
-		return this.asideMillis == 0 || (now >= this.asideUntil && !this.trialUnderWay);
+		return this.ejectionMillis == 0 || (now >= this.ejectedUntil && !this.trialInProgress);
 	}
 
-	/**
-	 * Record that a request was sent to the target.
-	 */
+	/** Record that a request was sent to the target. */
 	public void recordSent() {
-		if (this.asideMillis != 0) {
-			this.trialUnderWay = true;
+		if (this.ejectionMillis != 0) {
+			this.trialInProgress = true;
 		}
 	}
 
 	/**
-	 * Record that the target answered, be it with a refusal.
-	 * @return whether the target had been set aside
+	 * Record that the target responded, with a result or a rejection.
+	 * @return {@code true} if the target was ejected before
 	 */
 	public boolean recordSuccess() {
-		boolean wasAside = this.asideMillis != 0;
+		boolean wasEjected = this.ejectionMillis != 0;
 		this.failuresInRow = 0;
-		this.asideMillis = 0;
-		this.trialUnderWay = false;
-		return wasAside;
+		this.ejectionMillis = 0;
+		this.trialInProgress = false;
+		return wasEjected;
 	}
 
 	/**
-	 * Record that the target failed: no answer, a lost link or a lost generation.
-	 * @param now the time in milliseconds
-	 * @return whether the target is newly set aside
+	 * Record that the target failed: no response, a lost link or a lost generation.
+	 * @param now the current time in milliseconds
+	 * @return {@code true} if an ejection period starts
 	 */
 	public boolean recordFailure(long now) {
 		this.failuresInRow++;
-		if (this.failuresInRow < FAILURES_TO_SET_ASIDE && this.asideMillis == 0) {
+		if (this.failuresInRow < FAILURES_TO_EJECT && this.ejectionMillis == 0) {
 			return false;
 		}
-		this.trialUnderWay = false;
-		this.asideMillis = (this.asideMillis != 0) ? Math.min(MAX_ASIDE_MILLIS, this.asideMillis * 2)
-				: FIRST_ASIDE_MILLIS;
-		this.asideUntil = now + this.asideMillis;
+		this.trialInProgress = false;
+		this.ejectionMillis = (this.ejectionMillis != 0) ? Math.min(MAX_EJECTION_MILLIS, this.ejectionMillis * 2)
+				: FIRST_EJECTION_MILLIS;
+		this.ejectedUntil = now + this.ejectionMillis;
 		return true;
 	}
 
 	/**
-	 * Return the failures since the last success.
+	 * Return the number of failures since the last success.
 	 * @return the count
 	 */
 	public int failuresInRow() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Bounds retries by budget, backoff and target health.
+ * Limits on retries: budget, backoff and target health.
  */
 package dev.laneworks.core.retry;
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/DefaultTargetSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/DefaultTargetSelector.java
@@ -13,13 +13,14 @@
 import dev.laneworks.core.message.LoadReport;
 
 /**
- * Chooses by data centre, load and cached prefix among a bounded subset of targets.
- * <p>
- * Data centres are tried in the order of the intent, then those its spill rule adds. In
- * one data centre two targets drawn at random are compared, and with them the one that
- * the prompt's prefix belongs to; drawing keeps entries that hold the same old reports
- * from all choosing the same target. The next data centre is tried when the best one
- * found is full. Not thread-safe.
+ * {@link TargetSelector} that selects by data centre, load and cached prefix among a
+ * bounded subset of targets.
+ *
+ * Data centres are tried in the order of the intent, followed by those that its spill
+ * rule adds. Within a data centre, the less loaded of two random targets competes with
+ * the target that the prefix of the prompt maps to. Random choice keeps entries with the
+ * same stale load reports from all selecting the same target. The next data centre is
+ * tried if the best target is full. Not thread-safe.
  *
  * @since 0.1
  */
@@ -47,10 +48,10 @@
 
 	/**
 	 * Create a selector.
-	 * @param board what the entry believes of each target
-	 * @param subset bounds the targets used
+	 * @param board the recorded state of each target
+	 * @param subset selects the targets that the entry uses
 	 * @param ownDataCentre the data centre of the entry
-	 * @param random the source of draws
+	 * @param random the source of random choices
 	 */
 	public DefaultTargetSelector(TargetBoard board, TargetSubset subset, String ownDataCentre, RandomGenerator random) {
 		this.board = board;
@@ -60,7 +61,7 @@
 	}
 
 	/**
-	 * Use a configuration from now on.
+	 * Apply a configuration.
 	 * @param configuration the configuration in force
 	 */
 	public void use(FleetConfiguration configuration) {
@@ -72,8 +73,8 @@
 	}
 
 	/**
-	 * Return the targets used for all models.
-	 * @return the targets, each once
+	 * Return the targets used for any model.
+	 * @return the targets without duplicates
 	 */
 	public List<TargetDescription> usedTargets() {
 		return this.subsets.values().stream().flatMap(List::stream).distinct().toList();
@@ -85,7 +86,7 @@
 			return Optional.empty();
 		}
 		List<TargetDescription> usable = usable(request, now);
-		Candidate fallback = null;
+		Candidate leastFull = null;
 		for (String dataCentre : dataCentres(request.intent(), usable)) {
 			Candidate best = best(dataCentre, usable, request.prefixHash(), now);
 			if (best == null) {
@@ -94,11 +95,11 @@
 			if (best.score() < FULL) {
 				return Optional.of(best.route());
 			}
-			if (fallback == null || best.score() < fallback.score()) {
-				fallback = best;
+			if (leastFull == null || best.score() < leastFull.score()) {
+				leastFull = best;
 			}
 		}
-		return Optional.ofNullable(fallback).map(Candidate::route);
+		return Optional.ofNullable(leastFull).map(Candidate::route);
 	}
 
 	private List<TargetDescription> usable(RouteRequest request, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/Rendezvous.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/Rendezvous.java
@@ -9,10 +9,10 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Ranks nodes for a key by highest random weight.
- * <p>
- * Every instance that knows the same nodes ranks them the same way. When a node comes or
- * goes only the keys that it wins or won move.
+ * Rendezvous hashing, which ranks nodes for a key by highest random weight.
+ *
+ * Every instance with the same nodes computes the same ranking. If a node is added or
+ * removed, only the keys that map to it move.
  *
  * @since 0.1
  */
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * Hash a text to a key.
-	 * @param text the text
+	 * Hash a string to a key.
+	 * @param text the string
 	 * @return the key
 	 */
 	public static long hash(String text) {
@@ -33,10 +33,10 @@
 	}
 
 	/**
-	 * Return the weight of a node for a key.
+	 * Compute the weight of a node for a key.
 	 * @param key the key
-	 * @param node the node's name
-	 * @return the weight, compared as an unsigned number
+	 * @param node the name of the node
+	 * @return the weight, to be compared as an unsigned number
 	 */
 	public static long weight(long key, String node) {
 		long mixed = key * 0x9E3779B97F4A7C15L ^ HASH.hashChars(node);
@@ -50,7 +50,7 @@
 	 * @param <N> the type of node
 	 * @param key the key
 	 * @param nodes the nodes
-	 * @param name gives a node's name
+	 * @param name extracts the name of a node
 	 * @return the node, or empty if there are none
 	 */
 	public static <N> Optional<N> first(long key, Collection<N> nodes, Function<N, String> name) {
@@ -67,13 +67,13 @@
 	}
 
 	/**
-	 * Return the nodes with the highest weights, highest first.
+	 * Return the nodes with the highest weights.
 	 * @param <N> the type of node
 	 * @param key the key
 	 * @param nodes the nodes
-	 * @param name gives a node's name
-	 * @param count how many
-	 * @return at most {@code count} nodes
+	 * @param name extracts the name of a node
+	 * @param count the most nodes to return
+	 * @return the nodes, highest weight first
 	 */
 	public static <N> List<N> top(long key, Collection<N> nodes, Function<N, String> name, int count) {
 		Comparator<Weighted<N>> highestFirst = (a, b) -> Long.compareUnsigned(b.weight(), a.weight());
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/Route.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/Route.java
@@ -3,10 +3,10 @@
 import dev.laneworks.core.configuration.TargetDescription;
 
 /**
- * A target chosen for a request, and why.
+ * Target selected for a request.
  *
  * @param target the target
- * @param reason why it was chosen, for operators
+ * @param reason the reason for the selection, for operators
  * @since 0.1
  */
 public record Route(TargetDescription target, String reason) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/RouteRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/RouteRequest.java
@@ -6,12 +6,12 @@
 import dev.laneworks.core.configuration.Intent;
 
 /**
- * What a target is wanted for.
+ * Criteria for the selection of a target.
  *
  * @param model the model or service
- * @param intent the intent that the request falls under
- * @param prefixHash the hash of the prompt's beginning, or 0
- * @param excluded the targets that have refused it
+ * @param intent the intent that the request matches
+ * @param prefixHash the hash of the prefix of the prompt, or 0 if there is none
+ * @param excluded the names of targets that rejected the request
  * @since 0.1
  */
 public record RouteRequest(String model, Intent intent, long prefixHash, Set<String> excluded) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetBoard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetBoard.java
@@ -5,9 +5,7 @@
 import java.util.Set;
 
 /**
- * Keeps what an entry believes of each target.
- * <p>
- * Not thread-safe.
+ * Table of the recorded state of each target. Not thread-safe.
  *
  * @since 0.1
  */
@@ -16,16 +14,16 @@
 	private final Map<String, TargetState> states = new HashMap<>();
 
 	/**
-	 * Return the state of a target.
-	 * @param target the target's name
-	 * @return the state, a fresh one if the target is new
+	 * Return the state of a target, and create it if the target is new.
+	 * @param target the name of the target
+	 * @return the state
 	 */
 	public TargetState state(String target) {
 		return this.states.computeIfAbsent(target, (t) -> new TargetState());
 	}
 
 	/**
-	 * Forget all targets but these.
+	 * Remove all targets except the given ones.
 	 * @param targets the names of the targets to keep
 	 */
 	public void retain(Set<String> targets) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetSelector.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Chooses a target for a request.
+ * Strategy that selects a target for a request.
  *
  * @since 0.1
  */
@@ -11,10 +11,10 @@
 public interface TargetSelector {
 
 	/**
-	 * Choose a target.
-	 * @param request what the target is wanted for
-	 * @param now the time in milliseconds
-	 * @return the choice, or empty if no target can take the request now
+	 * Select a target.
+	 * @param request the criteria
+	 * @param now the current time in milliseconds
+	 * @return the selected target, or empty if no target can accept the request now
 	 */
 	Optional<Route> select(RouteRequest request, long now);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetState.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetState.java
@@ -4,10 +4,10 @@
 import dev.laneworks.core.retry.TargetHealth;
 
 /**
- * What an entry believes of one target.
- * <p>
- * The last report ages; what this entry has sent since then is added to it. Not
- * thread-safe.
+ * Recorded state of one target at an entry.
+ *
+ * The latest load report becomes stale, so that requests sent since then are counted in
+ * addition. Not thread-safe.
  *
  * @since 0.1
  */
@@ -28,7 +28,7 @@
 	private boolean linked;
 
 	/**
-	 * Return the record of the target's failures.
+	 * Return the record of failures of the target.
 	 * @return the health
 	 */
 	public TargetHealth health() {
@@ -36,16 +36,16 @@
 	}
 
 	/**
-	 * Return the last report.
-	 * @return the report, all zero before the first
+	 * Return the latest load report.
+	 * @return the report; all zero before the first one
 	 */
 	public LoadReport report() {
 		return this.report;
 	}
 
 	/**
-	 * Return how old the last report is.
-	 * @param now the time in milliseconds
+	 * Return the age of the latest load report.
+	 * @param now the current time in milliseconds
 	 * @return the age in milliseconds
 	 */
 	public long reportAgeMillis(long now) {
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Return the requests sent since the last report.
+	 * Return the number of requests sent since the latest load report.
 	 * @return the count
 	 */
 	public int sentSinceReport() {
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	 * Return this entry's requests under way.
+	 * Return the number of requests of this entry in progress at the target.
 	 * @return the count
 	 */
 	public int inFlight() {
@@ -69,17 +69,18 @@
 	}
 
 	/**
-	 * Return whether the target takes no new work, as far as is known.
-	 * @return {@code true} if its sidecar said so, which follows the platform's list
+	 * Determine whether the target is draining.
+	 * @return {@code true} if its sidecar reported so, which follows the list of the
+	 * platform
 	 */
 	public boolean isLeaving() {
 		return this.leaving;
 	}
 
 	/**
-	 * Record a report at first hand.
+	 * Record a load report that the target sent to this entry.
 	 * @param loadReport the report
-	 * @param now the time in milliseconds
+	 * @param now the current time in milliseconds
 	 */
 	public void recordReport(LoadReport loadReport, long now) {
 		this.report = loadReport;
@@ -88,17 +89,15 @@
 		this.leaving = loadReport.leaving();
 	}
 
-	/**
-	 * Record that the sidecar refused work because it leaves.
-	 */
+	/** Record that the sidecar rejected a request because the target is draining. */
 	public void recordLeaving() {
 		this.leaving = true;
 	}
 
 	/**
-	 * Record that the link to the target's sidecar is up.
-	 * @param newIncarnation whether another process answered than the last time; what was
-	 * said of the old one is void
+	 * Record that the link to the sidecar of the target is up.
+	 * @param newIncarnation whether the process differs from the previous one, whose
+	 * state is discarded
 	 */
 	public void recordLinkUp(boolean newIncarnation) {
 		this.linked = true;
@@ -108,33 +107,27 @@
 		}
 	}
 
-	/**
-	 * Record that the link to the target's sidecar is down.
-	 */
+	/** Record that the link to the sidecar of the target is down. */
 	public void recordLinkDown() {
 		this.linked = false;
 	}
 
 	/**
-	 * Return whether the link to the target's sidecar is up.
-	 * @return {@code true} if a request can be sent at once
+	 * Determine whether the link to the sidecar of the target is up.
+	 * @return {@code true} if a request can be sent immediately
 	 */
 	public boolean isLinked() {
 		return this.linked;
 	}
 
-	/**
-	 * Record that a request was sent.
-	 */
+	/** Record that a request was sent. */
 	public void recordSent() {
 		this.sentSinceReport++;
 		this.inFlight++;
 		this.health.recordSent();
 	}
 
-	/**
-	 * Record that a request is no longer under way.
-	 */
+	/** Record that a request is no longer in progress. */
 	public void recordDone() {
 		this.inFlight = Math.max(0, this.inFlight - 1);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetSubset.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetSubset.java
@@ -6,11 +6,11 @@
 import dev.laneworks.core.configuration.TargetDescription;
 
 /**
- * Bounds the targets that one entry uses for one model.
- * <p>
- * The subset is a pure function of the entry's name and the published targets. In the
- * entry's own data centre it takes up to a full share, elsewhere a smaller one for each
- * data centre, so that requests can spill.
+ * Selects the bounded subset of targets that one entry uses for a model.
+ *
+ * The subset is a pure function of the name of the entry and the published targets. It
+ * contains up to a full share of targets in the data centre of the entry, and a smaller
+ * share in each other data centre so that requests can spill.
  *
  * @since 0.1
  */
@@ -25,10 +25,10 @@
 	private final int otherShare;
 
 	/**
-	 * Create a chooser of subsets.
-	 * @param entry the entry's name
+	 * Create a subset selector.
+	 * @param entry the name of the entry
 	 * @param dataCentre the data centre of the entry
-	 * @param ownShare the most targets of a model in the entry's own data centre
+	 * @param ownShare the most targets of a model in the data centre of the entry
 	 * @param otherShare the most targets of a model in each other data centre
 	 */
 	public TargetSubset(String entry, String dataCentre, int ownShare, int otherShare) {
@@ -43,10 +43,10 @@
 	}
 
 	/**
-	 * Choose the subset for a model.
+	 * Select the subset for a model.
 	 * @param model the model or service
 	 * @param targets the published targets that serve it
-	 * @return the subset, targets of the own data centre first
+	 * @return the subset, with targets of the same data centre first
 	 */
 	public List<TargetDescription> choose(String model, List<TargetDescription> targets) {
 		long key = Rendezvous.hash(this.entry + ' ' + model);
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Chooses the target that a request goes to.
+ * Selection of the target of a request.
  */
 package dev.laneworks.core.routing;
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/PauseDetector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/PauseDetector.java
@@ -1,65 +1,64 @@
 package dev.laneworks.core.time;
 
 /**
- * Notices that the process was held up, by the gaps between its own signs of life.
- * <p>
- * What a process hears right behind a pause may have happened at any time during it.
- * Whoever counts a time from such an event asks how old it may be. Thread-safe.
+ * Detects pauses of this process by gaps between its own heartbeats.
+ *
+ * An event that is received right after a pause may have occurred at any time during it.
+ * Code that measures a time from such an event determines the earliest possible time
+ * here. Thread-safe.
  *
  * @since 0.3
  */
 public final class PauseDetector {
 
 	/**
-	 * The shortest gap between two signs of life that counts as a pause, in milliseconds:
-	 * three signs of an idle entry, which gives one each 150 ms since it looks that often
-	 * whether the store is silent, and a third of one more. A gap of a busy entry that is
-	 * taken for a pause costs streams refused in a stop.
+	 * The shortest gap between two heartbeats that counts as a pause, in milliseconds; a
+	 * little above three intervals of an idle entry.
 	 */
-	private static final long PAUSE_MILLIS = 500;
+	private static final long MIN_PAUSE_MILLIS = 500;
 
 	/**
-	 * For how long behind a pause what is heard may still stem from it, in milliseconds:
-	 * the thread that hears it gets its turn among all others that were held up.
+	 * The time after a pause in which received events may still stem from it, in
+	 * milliseconds; covers threads that resume late.
 	 */
-	private static final long AFTER_MILLIS = 1_000;
+	private static final long RECOVERY_MILLIS = 1_000;
 
 	private static final long NEVER = Long.MIN_VALUE / 2;
 
-	private long lastSign = NEVER;
+	private long lastHeartbeat = NEVER;
 
-	private long pauseBegan = NEVER;
+	private long pauseStart = NEVER;
 
-	private long pauseEnded = NEVER;
+	private long pauseEnd = NEVER;
 
 	/**
-	 * Take a sign of life.
-	 * @param now the time in milliseconds
-	 * @return how long a pause was that ends with it, in milliseconds; 0 if none does
+	 * Record a heartbeat.
+	 * @param now the current time in milliseconds
+	 * @return the length of the pause that it ends, in milliseconds; 0 if there was none
 	 */
 	public synchronized long alive(long now) {
-		long gap = (this.lastSign != NEVER) ? now - this.lastSign : 0;
-		boolean isPause = gap >= PAUSE_MILLIS;
+		long gap = (this.lastHeartbeat != NEVER) ? now - this.lastHeartbeat : 0;
+		boolean isPause = gap >= MIN_PAUSE_MILLIS;
 		if (isPause) {
-			this.pauseBegan = this.lastSign;
-			this.pauseEnded = now;
+			this.pauseStart = this.lastHeartbeat;
+			this.pauseEnd = now;
 		}
-		this.lastSign = now;
+		this.lastHeartbeat = now;
 		return isPause ? gap : 0;
 	}
 
 	/**
-	 * Return when something that is heard now may have happened at the earliest.
-	 * @param now the time in milliseconds
-	 * @return the beginning of a pause that lasts or has just ended, in milliseconds, or
-	 * the time given
+	 * Return the earliest time at which an event that is received now may have occurred.
+	 * @param now the current time in milliseconds
+	 * @return the start of a current or recent pause in milliseconds; otherwise the
+	 * current time
 	 */
 	public synchronized long earliest(long now) {
-		if (now - this.pauseEnded <= AFTER_MILLIS) {
-			return this.pauseBegan;
+		if (now - this.pauseEnd <= RECOVERY_MILLIS) {
+			return this.pauseStart;
 		}
-		boolean isPaused = this.lastSign != NEVER && now - this.lastSign >= PAUSE_MILLIS;
-		return isPaused ? this.lastSign : now;
+		boolean isPaused = this.lastHeartbeat != NEVER && now - this.lastHeartbeat >= MIN_PAUSE_MILLIS;
+		return isPaused ? this.lastHeartbeat : now;
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/SuspensionMeter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/SuspensionMeter.java
@@ -5,113 +5,113 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts the time for which the machine was suspended, which its steady clock leaves out.
- * <p>
- * A process of a suspended machine wakes with a steady clock that has not moved: all that
- * it believes by age would seem fresh. A jump of the time of day against the steady clock
- * is the sign to ask a clock that counts suspension; the jump itself proves nothing,
- * since the time of day is also set. Two readings of cheap clocks suffice so for each
- * reading of the time. Thread-safe.
+ * Clock that adds the time for which the machine was suspended to the monotonic clock,
+ * which excludes it.
+ *
+ * Without it, data that became stale during a suspension would seem fresh. A jump of the
+ * wall clock against the monotonic clock triggers a reading of a third clock, the boot
+ * clock, which includes suspensions. The jump alone proves nothing, since the wall clock
+ * is also adjusted. A reading of the time thus usually needs only two cheap clocks.
+ * Thread-safe.
  *
  * @since 0.4
  */
 public final class SuspensionMeter {
 
 	/**
-	 * By how much the time of day must jump for the other clock to be asked, in
-	 * milliseconds; its slow correction adds up to as much in a hundred seconds at the
-	 * most, and then costs one question.
+	 * The jump of the wall clock that triggers a reading of the boot clock, in
+	 * milliseconds. Slow correction of the wall clock reaches it rarely.
 	 */
-	private static final long JUMP_MILLIS = 50;
+	private static final long MIN_JUMP_MILLIS = 50;
 
 	/** The shortest suspension that counts, in milliseconds. */
-	private static final long LEAST_MILLIS = 20;
+	private static final long MIN_SUSPENSION_MILLIS = 20;
 
 	/**
-	 * How long two readings of the steady clock around one of the other may lie apart, in
-	 * milliseconds: a thread that is held up between them would take that for a
-	 * suspension.
+	 * The longest time between the two readings of the monotonic clock around one of the
+	 * boot clock, in milliseconds. A delay of the thread between them would be taken for
+	 * a suspension.
 	 */
-	private static final long APART_MILLIS = 5;
+	private static final long MAX_READING_MILLIS = 5;
 
-	/** How often the readings are taken anew where they lie too far apart. */
-	private static final int MOST_READINGS = 10;
+	/** The most attempts to read both clocks close enough to each other. */
+	private static final int MAX_ATTEMPTS = 10;
 
-	private final LongSupplier steady;
+	private final LongSupplier monotonic;
 
-	private final LongSupplier timeOfDay;
+	private final LongSupplier wallClock;
 
-	private Optional<LongSupplier> counting = Optional.empty();
+	private Optional<LongSupplier> bootClock = Optional.empty();
 
-	/** The other clock less the steady one, as it was when it was first read. */
-	private long countingAhead;
+	/** The offset of the boot clock from the monotonic clock without suspensions. */
+	private long bootOffset;
 
-	private volatile long timeOfDayAhead;
+	private volatile long wallOffset;
 
-	private volatile long suspended;
+	private volatile long suspensionMillis;
 
 	/**
-	 * Create a meter that counts nothing until it is given a clock.
-	 * @param steady the steady clock, in milliseconds
-	 * @param timeOfDay the time of day, in milliseconds
+	 * Create a meter that measures no suspension until it has a boot clock.
+	 * @param monotonic the monotonic clock, in milliseconds
+	 * @param wallClock the wall clock, in milliseconds
 	 */
-	public SuspensionMeter(LongSupplier steady, LongSupplier timeOfDay) {
-		this.steady = Objects.requireNonNull(steady, "steady must not be null");
-		this.timeOfDay = Objects.requireNonNull(timeOfDay, "timeOfDay must not be null");
-		this.timeOfDayAhead = timeOfDay.getAsLong() - steady.getAsLong();
+	public SuspensionMeter(LongSupplier monotonic, LongSupplier wallClock) {
+		this.monotonic = Objects.requireNonNull(monotonic, "monotonic must not be null");
+		this.wallClock = Objects.requireNonNull(wallClock, "wallClock must not be null");
+		this.wallOffset = wallClock.getAsLong() - monotonic.getAsLong();
 	}
 
 	/**
-	 * Count from now on.
-	 * @param clock a clock that goes like the steady one and counts suspension, in
-	 * milliseconds
+	 * Measure suspensions from now on.
+	 * @param clock a monotonic clock that includes suspensions, in milliseconds
 	 */
 	public synchronized void use(LongSupplier clock) {
-		this.counting = Optional.of(clock);
-		this.countingAhead = ahead(clock).orElse(clock.getAsLong() - this.steady.getAsLong()) - this.suspended;
+		this.bootClock = Optional.of(clock);
+		this.bootOffset = offset(clock).orElse(clock.getAsLong() - this.monotonic.getAsLong()) - this.suspensionMillis;
 	}
 
 	/**
-	 * Return the time.
-	 * @return the steady clock's, with all suspensions counted, in milliseconds
+	 * Return the current time.
+	 * @return the time of the monotonic clock plus all measured suspensions, in
+	 * milliseconds
 	 */
 	public long millis() {
-		long now = this.steady.getAsLong();
-		long jump = this.timeOfDay.getAsLong() - now - this.timeOfDayAhead;
-		if (Math.abs(jump) < JUMP_MILLIS) {
-			return now + this.suspended;
+		long now = this.monotonic.getAsLong();
+		long jump = this.wallClock.getAsLong() - now - this.wallOffset;
+		if (Math.abs(jump) < MIN_JUMP_MILLIS) {
+			return now + this.suspensionMillis;
 		}
 		look();
-		return this.steady.getAsLong() + this.suspended;
+		return this.monotonic.getAsLong() + this.suspensionMillis;
 	}
 
 	/**
-	 * Ask the other clock. To be called now and then, since a step of the time of day may
-	 * hide a suspension.
+	 * Read the boot clock. Must be called periodically, since an adjustment of the wall
+	 * clock may hide a suspension.
 	 */
 	public synchronized void look() {
-		this.timeOfDayAhead = this.timeOfDay.getAsLong() - this.steady.getAsLong();
-		this.counting.flatMap(this::ahead).ifPresent((ahead) -> {
-			long total = ahead - this.countingAhead;
-			if (total - this.suspended >= LEAST_MILLIS) {
-				this.suspended = total;
+		this.wallOffset = this.wallClock.getAsLong() - this.monotonic.getAsLong();
+		this.bootClock.flatMap(this::offset).ifPresent((offset) -> {
+			long total = offset - this.bootOffset;
+			if (total - this.suspensionMillis >= MIN_SUSPENSION_MILLIS) {
+				this.suspensionMillis = total;
 			}
 		});
 	}
 
 	/**
-	 * Return for how long the machine was suspended since the meter counts.
-	 * @return milliseconds
+	 * Return the total time of measured suspensions.
+	 * @return the time in milliseconds
 	 */
 	public long suspendedMillis() {
-		return this.suspended;
+		return this.suspensionMillis;
 	}
 
-	private Optional<Long> ahead(LongSupplier clock) {
-		for (int i = 0; i < MOST_READINGS; i++) {
-			long before = this.steady.getAsLong();
+	private Optional<Long> offset(LongSupplier clock) {
+		for (int i = 0; i < MAX_ATTEMPTS; i++) {
+			long before = this.monotonic.getAsLong();
 			long read = clock.getAsLong();
-			if (this.steady.getAsLong() - before <= APART_MILLIS) {
+			if (this.monotonic.getAsLong() - before <= MAX_READING_MILLIS) {
 				return Optional.of(read - before);
 			}
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/Timers.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/Timers.java
@@ -4,9 +4,9 @@
 import java.util.PriorityQueue;
 
 /**
- * Tasks that are due at a time.
- * <p>
- * A task that is not needed any more is left to run and must find that out itself. Not
+ * Queue of tasks by due time, for code that does not read a clock.
+ *
+ * A task cannot be cancelled and must itself determine whether it is still needed. Not
  * thread-safe.
  *
  * @since 0.2
@@ -17,19 +17,19 @@
 
 	private final PriorityQueue<Task> tasks = new PriorityQueue<>(ORDER);
 
-	private long numbers;
+	private long nextNumber;
 
 	/**
-	 * Add a task.
-	 * @param due when it is due, in milliseconds
-	 * @param action what to do, given the time
+	 * Schedule a task.
+	 * @param due the due time in milliseconds
+	 * @param action the action to run
 	 */
 	public void at(long due, TimedAction action) {
-		this.tasks.add(new Task(due, this.numbers++, action));
+		this.tasks.add(new Task(due, this.nextNumber++, action));
 	}
 
 	/**
-	 * Return when the next task is due.
+	 * Return the time of the next task.
 	 * @return the time in milliseconds, or {@link Long#MAX_VALUE} if there is none
 	 */
 	public long nextDue() {
@@ -38,8 +38,9 @@
 	}
 
 	/**
-	 * Run all tasks that are due.
-	 * @param now the time in milliseconds
+	 * Run all tasks that are due, in the order of their due times and then of their
+	 * scheduling.
+	 * @param now the current time in milliseconds
 	 */
 	public void run(long now) {
 		while (nextDue() <= now) {
@@ -48,14 +49,14 @@
 	}
 
 	/**
-	 * What is done at a time.
+	 * Action that receives the time at which it runs.
 	 */
 	@FunctionalInterface
 	public interface TimedAction {
 
 		/**
-		 * Do it.
-		 * @param now the time in milliseconds, not before the task was due
+		 * Run the action.
+		 * @param now the current time in milliseconds, at or after the due time
 		 */
 		void run(long now);
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/UsualTime.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/UsualTime.java
@@ -1,75 +1,75 @@
 package dev.laneworks.core.time;
 
 /**
- * Learns how long something usually takes, and so when it is overdue.
- * <p>
- * The estimate is that of RFC 6298 for retransmissions: a smoothed time and four times
- * its variation. What is measured includes the delays of this process itself, which is
- * what tells a process that is slow from a peer that is gone. Not thread-safe.
+ * Adaptive timeout, computed from measured durations as in RFC 6298.
+ *
+ * The timeout is the smoothed duration plus four times its variation. Durations include
+ * the delays of this process, so that a slow process does not take a peer for
+ * unreachable. Not thread-safe.
  *
  * @since 0.2
  */
 public final class UsualTime {
 
-	/** The weight of the newest time in the smoothed one, from RFC 6298. */
-	private static final double TIME_WEIGHT = 0.125;
+	/** The weight of the latest duration in the smoothed one, from RFC 6298. */
+	private static final double SMOOTHING_WEIGHT = 0.125;
 
-	/** The weight of the newest deviation in the variation, from RFC 6298. */
+	/** The weight of the latest deviation in the variation, from RFC 6298. */
 	private static final double VARIATION_WEIGHT = 0.25;
 
-	/** How many variations something may take longer, from RFC 6298. */
-	private static final double VARIATIONS = 4;
+	/** The number of variations added to the smoothed duration, from RFC 6298. */
+	private static final double VARIATION_FACTOR = 4;
 
-	private final long leastMillis;
+	private final long minMillis;
 
-	private final long mostMillis;
+	private final long maxMillis;
 
 	private double smoothed;
 
 	private double variation;
 
-	private boolean known;
+	private boolean hasDuration;
 
 	/**
-	 * Create times of which none is known.
-	 * @param leastMillis the least limit, in milliseconds
-	 * @param mostMillis the greatest limit, which also holds until a time is known, in
-	 * milliseconds
+	 * Create a timeout without any measured duration.
+	 * @param minMillis the shortest timeout, in milliseconds
+	 * @param maxMillis the longest timeout, in milliseconds, which also applies before
+	 * the first duration
 	 */
-	public UsualTime(long leastMillis, long mostMillis) {
-		if (leastMillis < 0 || mostMillis < leastMillis) {
-			throw new IllegalArgumentException("limits must be positive, the least below the greatest");
+	public UsualTime(long minMillis, long maxMillis) {
+		if (minMillis < 0 || maxMillis < minMillis) {
+			throw new IllegalArgumentException("minMillis must not be negative and maxMillis must not be below it");
 		}
-		this.leastMillis = leastMillis;
-		this.mostMillis = mostMillis;
+		this.minMillis = minMillis;
+		this.maxMillis = maxMillis;
 	}
 
 	/**
-	 * Take a time; one beyond the greatest limit counts as that.
-	 * @param millis the time, in milliseconds
+	 * Record a duration. One above the longest timeout counts as that.
+	 * @param millis the duration in milliseconds
 	 */
 	public void took(long millis) {
-		long counted = Math.min(millis, this.mostMillis);
-		if (!this.known) {
-			this.known = true;
-			this.smoothed = counted;
-			this.variation = counted / 2.0;
+		long duration = Math.min(millis, this.maxMillis);
+		if (!this.hasDuration) {
+			this.hasDuration = true;
+			this.smoothed = duration;
+			this.variation = duration / 2.0;
 			return;
 		}
-		this.variation += VARIATION_WEIGHT * (Math.abs(counted - this.smoothed) - this.variation);
-		this.smoothed += TIME_WEIGHT * (counted - this.smoothed);
+		this.variation += VARIATION_WEIGHT * (Math.abs(duration - this.smoothed) - this.variation);
+		this.smoothed += SMOOTHING_WEIGHT * (duration - this.smoothed);
 	}
 
 	/**
-	 * Return how long it may take before it is overdue.
-	 * @return milliseconds
+	 * Compute the current timeout.
+	 * @return the timeout in milliseconds
 	 */
 	public long limitMillis() {
-		if (!this.known) {
-			return this.mostMillis;
+		if (!this.hasDuration) {
+			return this.maxMillis;
 		}
-		long usual = Math.round(this.smoothed + VARIATIONS * this.variation);
-		return Math.max(this.leastMillis, Math.min(this.mostMillis, usual));
+		long timeout = Math.round(this.smoothed + VARIATION_FACTOR * this.variation);
+		return Math.max(this.minMillis, Math.min(this.maxMillis, timeout));
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What is due at a time, for code that reads no clock.
+ * Timers, adaptive timeouts, and detection of pauses and suspensions.
  */
 package dev.laneworks.core.time;
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -25,123 +25,123 @@
 
 	private final Timers timers = new Timers();
 
-	private final List<Taken> taken = new ArrayList<>();
+	private final List<Taken> results = new ArrayList<>();
 
-	private final List<String> questions = new ArrayList<>();
+	private final List<String> requests = new ArrayList<>();
 
-	/** Pieces on their way to the taker. */
-	private final List<Sent> underWay = new ArrayList<>();
+	/** Chunks in transit to the receiver. */
+	private final List<Sent> inTransit = new ArrayList<>();
 
-	private Optional<StoreState> known = Optional.of(state(100, 200_000));
+	private Optional<StoreState> snapshot = Optional.of(state(100, 200_000));
 
-	private boolean silent;
+	private boolean isServerSilent;
 
-	private final StateGiver giver = new StateGiver((t) -> this.known, new TextForm());
+	private final StateGiver server = new StateGiver((t) -> this.snapshot, new TextForm());
 
-	private final StateTaker taker = new StateTaker(new TextForm(), () -> List.of(A, B), this::ask, this.taken::add,
-			this.timers);
+	private final StateTaker fetcher = new StateTaker(new TextForm(), () -> List.of(A, B), this::sendRequest,
+			this.results::add, this.timers);
 
 	private long now;
 
 	@Test
-	void takesAStateOfManyPiecesWhole() {
-		this.taker.start(0);
+	void receivesSnapshotOfManyChunks() {
+		this.fetcher.start(0);
 		deliverAll();
-		assertThat(this.taken).containsExactly(new Taken(A, this.known.get()));
+		assertThat(this.results).containsExactly(new Taken(A, this.snapshot.get()));
 	}
 
 	@Test
-	void lostRepeatedAndReorderedPiecesChangeNothing() {
+	void toleratesLostDuplicatedAndReorderedChunks() {
 		Random random = new Random(7);
-		this.taker.start(0);
-		for (int i = 0; i < 400 && this.taken.isEmpty(); i++) {
-			List<Sent> arriving = new ArrayList<>(this.underWay);
-			arriving.addAll(this.underWay);
-			this.underWay.clear();
+		this.fetcher.start(0);
+		for (int i = 0; i < 400 && this.results.isEmpty(); i++) {
+			List<Sent> arriving = new ArrayList<>(this.inTransit);
+			arriving.addAll(this.inTransit);
+			this.inTransit.clear();
 			Collections.shuffle(arriving, random);
 			arriving.stream().filter((s) -> random.nextInt(3) > 0).forEach(this::deliver);
-			pass(StateTaker.ASK_MILLIS);
+			passTime(StateTaker.REQUEST_MILLIS);
 		}
-		assertThat(this.taken.stream().map(Taken::state).toList()).containsExactly(this.known.get());
+		assertThat(this.results.stream().map(Taken::state).toList()).containsExactly(this.snapshot.get());
 	}
 
 	@Test
-	void aGiverThatFallsSilentIsGivenUpForAnother() {
-		this.taker.start(0);
-		deliver(this.underWay.get(0));
-		this.underWay.clear();
-		this.silent = true;
-		pass(160);
-		this.silent = false;
-		assertThat(this.questions).contains(B + " -1 0");
-		pass(StateTaker.ASK_MILLIS);
+	void abandonsASilentServer() {
+		this.fetcher.start(0);
+		deliver(this.inTransit.get(0));
+		this.inTransit.clear();
+		this.isServerSilent = true;
+		passTime(160);
+		this.isServerSilent = false;
+		assertThat(this.requests).contains(B + " -1 0");
+		passTime(StateTaker.REQUEST_MILLIS);
 		deliverAll();
-		assertThat(this.taken).hasSize(1);
+		assertThat(this.results).hasSize(1);
 	}
 
 	@Test
-	void aLaterRevisionReplacesWhatWasGatheredAndAnEarlierOneDoesNot() {
-		this.taker.start(0);
-		deliver(this.underWay.get(0));
-		List<Sent> old = List.copyOf(this.underWay);
-		this.underWay.clear();
+	void onlyALaterRevisionReplacesAnIncompleteSnapshot() {
+		this.fetcher.start(0);
+		deliver(this.inTransit.get(0));
+		List<Sent> delayed = List.copyOf(this.inTransit);
+		this.inTransit.clear();
 		StoreState later = state(101, 20_000);
 		StateGiver other = new StateGiver((t) -> Optional.of(later), new TextForm());
 		other.answer(new StateQuestion(StateQuestion.ANY_REVISION, 0), 0)
-			.forEach((p) -> this.underWay.add(new Sent(B, p)));
-		deliver(this.underWay.remove(0));
-		old.forEach(this::deliver);
+			.forEach((p) -> this.inTransit.add(new Sent(B, p)));
+		deliver(this.inTransit.remove(0));
+		delayed.forEach(this::deliver);
 		deliverAll();
-		assertThat(this.taken).containsExactly(new Taken(B, later));
+		assertThat(this.results).containsExactly(new Taken(B, later));
 	}
 
 	@Test
-	void aStateThatChangesMeanwhileIsTakenAsItWas() {
-		StoreState first = this.known.get();
-		this.taker.start(0);
-		this.known = Optional.of(state(101, 200_000));
+	void receivesTheInitialRevisionWhileTheStateChanges() {
+		StoreState first = this.snapshot.get();
+		this.fetcher.start(0);
+		this.snapshot = Optional.of(state(101, 200_000));
 		deliverAll();
-		assertThat(this.taken).containsExactly(new Taken(A, first));
+		assertThat(this.results).containsExactly(new Taken(A, first));
 	}
 
 	@Test
-	void strangersAndTheTimeAfterwardsAreNotHeard() {
+	void ignoresUnknownSendersAndInactiveTransfers() {
 		StatePiece piece = new StatePiece(900, 0, 0, 1, "k=v".getBytes(StandardCharsets.UTF_8));
-		this.taker.received(A, piece, 0);
-		this.taker.start(0);
-		this.taker.received("10.9.9.9:7200", piece, 0);
-		assertThat(this.taken).isEmpty();
-		this.taker.stop();
-		this.taker.received(A, piece, 0);
-		pass(500);
-		assertThat(this.taken).isEmpty();
-		assertThat(this.questions).hasSize(2);
+		this.fetcher.received(A, piece, 0);
+		this.fetcher.start(0);
+		this.fetcher.received("10.9.9.9:7200", piece, 0);
+		assertThat(this.results).isEmpty();
+		this.fetcher.stop();
+		this.fetcher.received(A, piece, 0);
+		passTime(500);
+		assertThat(this.results).isEmpty();
+		assertThat(this.requests).hasSize(2);
 	}
 
 	@Test
-	void whoKnowsNothingAnswersNothing() {
-		this.known = Optional.empty();
-		assertThat(this.giver.answer(new StateQuestion(StateQuestion.ANY_REVISION, 0), 0)).isEmpty();
+	void serverWithoutSnapshotSendsNothing() {
+		this.snapshot = Optional.empty();
+		assertThat(this.server.answer(new StateQuestion(StateQuestion.ANY_REVISION, 0), 0)).isEmpty();
 	}
 
-	private void ask(String address, StateQuestion question) {
-		this.questions.add(address + ' ' + question.revision() + ' ' + question.firstPiece());
-		if (!this.silent && address.equals(A)) {
-			this.giver.answer(question, this.now).forEach((p) -> this.underWay.add(new Sent(A, p)));
+	private void sendRequest(String address, StateQuestion question) {
+		this.requests.add(address + ' ' + question.revision() + ' ' + question.firstPiece());
+		if (!this.isServerSilent && address.equals(A)) {
+			this.server.answer(question, this.now).forEach((p) -> this.inTransit.add(new Sent(A, p)));
 		}
 	}
 
 	private void deliverAll() {
-		while (!this.underWay.isEmpty()) {
-			deliver(this.underWay.remove(0));
+		while (!this.inTransit.isEmpty()) {
+			deliver(this.inTransit.remove(0));
 		}
 	}
 
 	private void deliver(Sent sent) {
-		this.taker.received(sent.from, sent.piece, this.now);
+		this.fetcher.received(sent.from, sent.piece, this.now);
 	}
 
-	private void pass(long millis) {
+	private void passTime(long millis) {
 		this.now += millis;
 		this.timers.run(this.now);
 	}
@@ -155,7 +155,7 @@
 	}
 
 	/**
-	 * Lines of keys and values.
+	 * Encodes one item per line.
 	 */
 	private static final class TextForm implements StateForm {
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/RequestDigestTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/RequestDigestTests.java
@@ -9,17 +9,17 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests {@link RequestDigest}.
+ * Tests for {@link RequestDigest}.
  */
 class RequestDigestTests {
 
 	@Test
-	void requestsThatAskTheSameOfTheSameCallerAreTheSame() {
+	void equalRequestsOfOneAccountHaveTheSameDigest() {
 		assertThat(digest("acme", "h", "/a/b?q=1", "body")).isEqualTo(digest("acme", "h", "/a/b?q=1", "body"));
 	}
 
 	@Test
-	void eachPartTellsRequestsApart() {
+	void eachPartChangesTheDigest() {
 		Set<RequestDigest> all = new HashSet<>();
 		for (String account : new String[] { "", "acme", "acne" }) {
 			for (String uri : new String[] { "/", "/a", "/a?", "/a?q" }) {
@@ -33,15 +33,14 @@
 	}
 
 	@Test
-	void bytesThatAreNoTextCountToo() {
+	void invalidUtf8ChangesTheDigest() {
 		assertThat(RequestDigest.of("a", "h", "/", new byte[] { (byte) 0xC3 }))
 			.isNotEqualTo(RequestDigest.of("a", "h", "/", new byte[] { (byte) 0xC4 }));
 	}
 
-	// Entries of one fleet compare digests, whatever machine and version of Java they run
-	// on.
+	// Entries compare digests across machines and Java versions.
 	@Test
-	void isTheSameInEveryProcess() {
+	void isStableAcrossProcesses() {
 		assertThat(digest("acme", "h", "/a", "body").label()).isEqualTo("fe72f11ad947a4d4");
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
@@ -13,14 +13,14 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests {@link SuspectGossip} over several entries in virtual time.
+ * Tests for {@link SuspectGossip} with several entries in virtual time.
  */
 class SuspectGossipTests {
 
 	private static final RequestDigest DIGEST = new RequestDigest(1, 2, 3);
 
-	/** How long a datagram is on its way, in milliseconds. */
-	private static final long WAY_MILLIS = 3;
+	/** The delivery time of a datagram, in milliseconds. */
+	private static final long LATENCY_MILLIS = 3;
 
 	private Timers timers = new Timers();
 
@@ -28,84 +28,81 @@
 
 	private final SplittableRandom random = new SplittableRandom(4);
 
-	private double lost;
+	private double lossRate;
 
 	private int sent;
 
 	private long now;
 
 	@Test
-	void nothingIsSentWhileNothingIsSuspected() {
+	void sendsNothingWithoutSuspects() {
 		start(5);
 		passTime(60_000);
 		assertThat(this.sent).isEqualTo(0);
 	}
 
 	@Test
-	void whatOneEntrySawIsKnownToAllAtOnce() {
+	void observationsReachAllEntriesAtOnce() {
 		start(33);
-		this.entries.get(0).sees("a");
-		this.entries.get(1).sees("b");
-		this.entries.get(2).sees("c");
-		passTime(2 * WAY_MILLIS);
-		assertThat(quarantining()).isEqualTo(33);
+		this.entries.get(0).observe("a");
+		this.entries.get(1).observe("b");
+		this.entries.get(2).observe("c");
+		passTime(2 * LATENCY_MILLIS);
+		assertThat(quarantiningEntries()).isEqualTo(33);
 	}
 
-	// 500 fleets that lose a tenth of all datagrams. Three seconds are what the users
-	// allow
-	// until no entry may send the request any more.
+	// All entries must quarantine a request within three seconds although a tenth of all
+	// datagrams is lost.
 	@Test
-	void lostNewsAreMadeGoodWithinThreeSeconds() {
+	void repeatsMakeUpForLostDatagrams() {
 		for (int seed = 0; seed < 500; seed++) {
 			this.entries.clear();
 			this.timers = new Timers();
 			start(4);
-			this.lost = 0.1;
-			this.entries.get(0).sees("a");
-			this.entries.get(0).sees("b");
-			this.entries.get(1).sees("c");
+			this.lossRate = 0.1;
+			this.entries.get(0).observe("a");
+			this.entries.get(0).observe("b");
+			this.entries.get(1).observe("c");
 			passTime(3_000);
-			assertThat(quarantining()).isEqualTo(4);
+			assertThat(quarantiningEntries()).isEqualTo(4);
 		}
 	}
 
 	@Test
-	void anEntryThatStartsKnowsWhatOthersKnowWithinABeatThoughTheWitnessIsGone() {
+	void newEntryReceivesReportsWithinOneRound() {
 		start(4);
-		this.entries.get(0).sees("a");
-		this.entries.get(0).sees("b");
-		this.entries.get(0).sees("c");
+		this.entries.get(0).observe("a");
+		this.entries.get(0).observe("b");
+		this.entries.get(0).observe("c");
 		passTime(100);
 		this.entries.remove(0);
 		passTime(60_000);
 		start(1);
-		passTime(SuspectGossip.BEAT_MILLIS + WAY_MILLIS);
-		assertThat(quarantining()).isEqualTo(4);
+		passTime(SuspectGossip.ROUND_MILLIS + LATENCY_MILLIS);
+		assertThat(quarantiningEntries()).isEqualTo(4);
 	}
 
 	@Test
-	void thatItRanWholeIsToldToo() {
+	void completionReachesAllEntries() {
 		start(3);
-		this.entries.get(0).sees("a");
+		this.entries.get(0).observe("a");
 		passTime(10);
 		this.entries.get(1).suspects.ranWhole(DIGEST, this.now);
 		passTime(10);
 		this.entries.forEach((e) -> assertThat(e.suspects.endedUnder(DIGEST)).isEmpty());
 	}
 
-	// A target at which 60 sound requests ran ends each half a second, for two minutes:
-	// an entry sends at most the bound of four datagrams to two others each beat, beside
-	// what it saw itself.
+	// Bounds the traffic while a target with 60 requests crashes each half second.
 	@Test
-	void whatIsSentIsBoundedInAFlood() {
+	void trafficIsBoundedDuringManyCrashes() {
 		start(2);
 		for (int end = 0; end < 240; end++) {
 			for (int i = 0; i < 60; i++) {
-				this.entries.get(0).sees(new RequestDigest(0, end, i), "t" + end);
+				this.entries.get(0).observe(new RequestDigest(0, end, i), "t" + end);
 			}
 			passTime(500);
 		}
-		// Four tellings of each end to one other entry, and both entries' beats.
+		// Four sends of each crash to the other entry, and the rounds of both entries.
 		assertThat(this.sent).isAtMost(240 * 4 + 120 * 2 * 4);
 	}
 
@@ -114,7 +111,7 @@
 		this.entries.subList(this.entries.size() - count, this.entries.size()).forEach((e) -> e.gossip.start(this.now));
 	}
 
-	private long quarantining() {
+	private long quarantiningEntries() {
 		return this.entries.stream().filter((e) -> e.suspects.quarantinedFor(DIGEST, this.now).isPresent()).count();
 	}
 
@@ -136,17 +133,17 @@
 		private final SuspectGossip gossip = new SuspectGossip(this.suspects, this::others, this::send,
 				SuspectGossipTests.this.timers, SuspectGossipTests.this.random);
 
-		private boolean hearing;
+		private boolean isReceiving;
 
 		private Entry(int number) {
 			this.address = "e" + number + "@" + SuspectGossipTests.this.now;
 		}
 
-		private void sees(String target) {
-			sees(DIGEST, target);
+		private void observe(String target) {
+			observe(DIGEST, target);
 		}
 
-		private void sees(RequestDigest digest, String target) {
+		private void observe(RequestDigest digest, String target) {
 			long at = SuspectGossipTests.this.now;
 			this.suspects.ended(digest, TargetRun.of(target), at, at);
 		}
@@ -165,26 +162,26 @@
 		}
 
 		private void deliver(Entry other, List<SuspectReport> reports) {
-			if (SuspectGossipTests.this.random.nextDouble() < SuspectGossipTests.this.lost) {
+			if (SuspectGossipTests.this.random.nextDouble() < SuspectGossipTests.this.lossRate) {
 				return;
 			}
-			SuspectGossipTests.this.timers.at(SuspectGossipTests.this.now + WAY_MILLIS, (t) -> {
-				other.hearing = true;
+			SuspectGossipTests.this.timers.at(SuspectGossipTests.this.now + LATENCY_MILLIS, (t) -> {
+				other.isReceiving = true;
 				reports.forEach((r) -> other.suspects.heard(r, t));
-				other.hearing = false;
+				other.isReceiving = false;
 			});
 		}
 
 		@Override
 		public void ended(RequestDigest digest, TargetRun run, int ends, long at) {
-			if (!this.hearing) {
+			if (!this.isReceiving) {
 				this.gossip.saw(digest, at);
 			}
 		}
 
 		@Override
 		public void quarantined(RequestDigest digest, long at) {
-			// The entry's calls are not played here.
+			// The simulation has no calls to cancel.
 		}
 
 		@Override
--- a/laneworks-core/src/test/java/dev/laneworks/core/retry/RetryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/retry/RetryTests.java
@@ -13,7 +13,7 @@
 class RetryTests {
 
 	@Test
-	void budgetBoundsRetriesToAShareOfSuccesses() {
+	void budgetLimitsRetriesToAShareOfSuccesses() {
 		RetryBudget budget = new RetryBudget(0.1, 0, 5);
 		int taken = 0;
 		for (int i = 0; i < 1_000; i++) {
@@ -25,7 +25,7 @@
 	}
 
 	@Test
-	void budgetIsSpentInAnOutage() {
+	void budgetIsExhaustedInAnOutage() {
 		RetryBudget budget = new RetryBudget(0.1, 1, 5);
 		int taken = 0;
 		for (int second = 0; second < 60; second++) {
@@ -37,7 +37,7 @@
 	}
 
 	@Test
-	void backoffDoublesWithinItsBoundAndKeepsHalf() {
+	void backoffDoublesUpToItsMaximumWithJitter() {
 		Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofSeconds(1), new SplittableRandom(1));
 		for (int retry = 1; retry < 40; retry++) {
 			long full = Math.min(1_000, 100L << Math.min(20, retry - 1));
@@ -48,7 +48,7 @@
 	}
 
 	@Test
-	void targetIsSetAsideAfterThreeFailuresAndTriedAgainGently() {
+	void targetIsEjectedAfterThreeFailuresAndReturnsAfterATrial() {
 		TargetHealth health = new TargetHealth();
 		assertThat(health.recordFailure(0)).isFalse();
 		assertThat(health.recordFailure(0)).isFalse();
--- a/laneworks-core/src/test/java/dev/laneworks/core/routing/DefaultTargetSelectorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/routing/DefaultTargetSelectorTests.java
@@ -43,7 +43,7 @@
 	}
 
 	@Test
-	void staysInTheIntentsDataCentreWhileItHasRoom() {
+	void staysInTheDataCentreOfTheIntentBelowCapacity() {
 		for (int i = 0; i < 50; i++) {
 			assertThat(select(intent(SpillRule.ANY), Set.of()).orElseThrow()).startsWith("d1");
 		}
@@ -62,14 +62,14 @@
 	}
 
 	@Test
-	void leavesOutTargetsThatLeaveOrRefused() {
+	void excludesDrainingAndRejectingTargets() {
 		this.board.state("d1-a").recordLeaving();
 		assertThat(select(intent(SpillRule.NONE), Set.of()).orElseThrow()).isEqualTo("d1-b");
 		assertThat(select(intent(SpillRule.NONE), Set.of("d1-b")).isEmpty()).isTrue();
 	}
 
 	@Test
-	void leavesOutTargetsWithoutALinkWhileOthersHaveOne() {
+	void excludesTargetsWithoutLinkWhileOthersAreLinked() {
 		this.board.state("d1-a").recordLinkDown();
 		for (int i = 0; i < 20; i++) {
 			assertThat(select(intent(SpillRule.NONE), Set.of()).orElseThrow()).isEqualTo("d1-b");
@@ -77,16 +77,16 @@
 	}
 
 	@Test
-	void countsWhatWasSentSinceAnOldReport() {
+	void countsRequestsSentSinceTheLatestReport() {
 		for (int i = 0; i < 10; i++) {
 			this.board.state("d1-a").recordSent();
 		}
-		int toB = 0;
+		int selectedB = 0;
 		for (int i = 0; i < 100; i++) {
-			toB += select(intent(SpillRule.NONE), Set.of()).orElseThrow().equals("d1-b") ? 1 : 0;
+			selectedB += select(intent(SpillRule.NONE), Set.of()).orElseThrow().equals("d1-b") ? 1 : 0;
 		}
-		// A draw of the same target twice is the only way to the other one.
-		assertThat(toB).isAtLeast(60);
+		// The other target is selected only if it is drawn twice.
+		assertThat(selectedB).isAtLeast(60);
 	}
 
 	private void fill(String... targets) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/routing/RendezvousTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/routing/RendezvousTests.java
@@ -32,18 +32,18 @@
 	}
 
 	@Test
-	void movesOnlyTheKeysOfANodeThatGoes() {
-		List<String> fewer = this.nodes.subList(1, this.nodes.size());
+	void movesOnlyTheKeysOfARemovedNode() {
+		List<String> remaining = this.nodes.subList(1, this.nodes.size());
 		for (int key = 0; key < KEYS; key++) {
 			String before = first(key, this.nodes);
 			if (!before.equals(this.nodes.get(0))) {
-				assertThat(first(key, fewer)).isEqualTo(before);
+				assertThat(first(key, remaining)).isEqualTo(before);
 			}
 		}
 	}
 
 	@Test
-	void ranksTheFirstOnTop() {
+	void topStartsWithTheFirst() {
 		for (int key = 0; key < 100; key++) {
 			List<String> top = Rendezvous.top(Rendezvous.hash("key" + key), this.nodes, Function.identity(), 3);
 			assertThat(top).hasSize(3);
--- a/laneworks-core/src/test/java/dev/laneworks/core/time/PauseDetectorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/time/PauseDetectorTests.java
@@ -12,7 +12,7 @@
 	private final PauseDetector pauses = new PauseDetector();
 
 	@Test
-	void whatIsHeardByAProcessThatRunsHappensNow() {
+	void eventsAreCurrentWithoutAPause() {
 		assertThat(this.pauses.earliest(5)).isEqualTo(5);
 		this.pauses.alive(10);
 		this.pauses.alive(160);
@@ -20,7 +20,7 @@
 	}
 
 	@Test
-	void whatIsHeardInAPauseOrRightBehindItMayBeAsOldAsThePause() {
+	void eventsDuringOrRightAfterAPauseMayBeAsOldAsItsStart() {
 		this.pauses.alive(1_000);
 		assertThat(this.pauses.earliest(3_000)).isEqualTo(1_000);
 		this.pauses.alive(3_000);
@@ -29,7 +29,7 @@
 	}
 
 	@Test
-	void aPauseIsOverAfterAWhile() {
+	void pauseHasNoEffectAfterTheRecoveryTime() {
 		this.pauses.alive(1_000);
 		this.pauses.alive(3_000);
 		this.pauses.alive(3_400);
@@ -39,7 +39,7 @@
 	}
 
 	@Test
-	void aShortGapIsNoPause() {
+	void shortGapIsNoPause() {
 		this.pauses.alive(1_000);
 		this.pauses.alive(1_499);
 		assertThat(this.pauses.earliest(1_500)).isEqualTo(1_500);
--- a/laneworks-core/src/test/java/dev/laneworks/core/time/SuspensionMeterTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/time/SuspensionMeterTests.java
@@ -7,127 +7,127 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests {@link SuspensionMeter} against a machine whose clocks a test plays.
+ * Tests for {@link SuspensionMeter} with simulated clocks.
  */
 class SuspensionMeterTests {
 
-	private long steady = 1_000_000;
+	private long monotonic = 1_000_000;
 
-	private long timeOfDay = 1_700_000_000_000L;
+	private long wallClock = 1_700_000_000_000L;
 
-	private long counting = 5_000_000;
+	private long bootClock = 5_000_000;
 
-	/** For how long the thread is held up at its next reading of the counting clock. */
-	private long heldUp;
+	/** The delay of the thread at its next reading of the boot clock, in milliseconds. */
+	private long readingDelay;
 
-	private final SuspensionMeter meter = new SuspensionMeter(() -> this.steady, () -> this.timeOfDay);
+	private final SuspensionMeter meter = new SuspensionMeter(() -> this.monotonic, () -> this.wallClock);
 
 	@Test
-	void countsASuspension() {
-		this.meter.use(this::readCounting);
+	void addsASuspension() {
+		this.meter.use(this::readBootClock);
 		suspend(7_000);
-		assertThat(this.meter.millis()).isEqualTo(this.steady + 7_000);
+		assertThat(this.meter.millis()).isEqualTo(this.monotonic + 7_000);
 		assertThat(this.meter.suspendedMillis()).isEqualTo(7_000);
 	}
 
 	@Test
-	void aStepOfTheTimeOfDayIsNoSuspension() {
-		this.meter.use(this::readCounting);
-		this.timeOfDay += 2_400;
-		assertThat(this.meter.millis()).isEqualTo(this.steady);
-		this.timeOfDay -= 4_800;
-		assertThat(this.meter.millis()).isEqualTo(this.steady);
+	void adjustmentOfTheWallClockIsNoSuspension() {
+		this.meter.use(this::readBootClock);
+		this.wallClock += 2_400;
+		assertThat(this.meter.millis()).isEqualTo(this.monotonic);
+		this.wallClock -= 4_800;
+		assertThat(this.meter.millis()).isEqualTo(this.monotonic);
 	}
 
 	@Test
-	void aSuspensionThatAStepHidesIsFoundByTheNextLook() {
-		this.meter.use(this::readCounting);
+	void lookFindsASuspensionHiddenByAnAdjustment() {
+		this.meter.use(this::readBootClock);
 		suspend(3_000);
-		this.timeOfDay -= 3_000;
+		this.wallClock -= 3_000;
 		this.meter.look();
-		assertThat(this.meter.millis()).isEqualTo(this.steady + 3_000);
+		assertThat(this.meter.millis()).isEqualTo(this.monotonic + 3_000);
 	}
 
 	@Test
-	void withoutAClockThatCountsItTellsTheSteadyTime() {
+	void returnsMonotonicTimeWithoutABootClock() {
 		suspend(7_000);
-		assertThat(this.meter.millis()).isEqualTo(this.steady);
+		assertThat(this.meter.millis()).isEqualTo(this.monotonic);
 	}
 
 	@Test
-	void whatWasBeforeTheClockWasGivenDoesNotCount() {
+	void ignoresSuspensionsBeforeTheBootClockIsSet() {
 		suspend(7_000);
-		this.meter.use(this::readCounting);
-		assertThat(this.meter.millis()).isEqualTo(this.steady);
+		this.meter.use(this::readBootClock);
+		assertThat(this.meter.millis()).isEqualTo(this.monotonic);
 	}
 
-	// A process that is frozen just between its readings would count the time twice.
+	// Guards against counting a delay between two readings as a suspension.
 	@Test
-	void aThreadHeldUpBetweenItsReadingsCountsNothing() {
-		this.meter.use(this::readCounting);
-		this.heldUp = 4_000;
-		this.timeOfDay += 100;
-		assertThat(this.meter.millis()).isEqualTo(this.steady);
+	void ignoresDelayBetweenReadings() {
+		this.meter.use(this::readBootClock);
+		this.readingDelay = 4_000;
+		this.wallClock += 100;
+		assertThat(this.meter.millis()).isEqualTo(this.monotonic);
 		assertThat(this.meter.suspendedMillis()).isEqualTo(0);
 	}
 
-	// 2,000 orders of suspensions of 0.2 to 30 s, steps of the time of day, its slow
-	// correction and freezes, some of them within a reading: the time is that of the
-	// clock that counts, never falls, and is off for no longer than until the next look.
+	// For random sequences of suspensions, adjustments and delays, the time equals that
+	// of the boot clock and never decreases; only a hidden suspension needs a reading of
+	// the boot clock.
 	@Test
-	void everyOrderOfSuspensionsAndStepsIsTold() {
+	void followsTheBootClockForRandomSequences() {
 		for (int seed = 0; seed < 2_000; seed++) {
 			SplittableRandom random = new SplittableRandom(seed);
-			SuspensionMeter played = new SuspensionMeter(() -> this.steady, () -> this.timeOfDay);
-			played.use(this::readCounting);
-			long ahead = this.counting - this.steady;
-			long before = played.millis();
+			SuspensionMeter simulated = new SuspensionMeter(() -> this.monotonic, () -> this.wallClock);
+			simulated.use(this::readBootClock);
+			long offset = this.bootClock - this.monotonic;
+			long before = simulated.millis();
 			for (int i = 0; i < 40; i++) {
-				boolean isHidden = play(random);
+				boolean isHidden = applyRandomEvent(random);
 				if (isHidden) {
-					played.look();
+					simulated.look();
 				}
-				long told = played.millis();
-				assertThat(told).isAtLeast(before);
-				assertThat(told - this.steady).isEqualTo(this.counting - this.steady - ahead);
-				before = told;
+				long current = simulated.millis();
+				assertThat(current).isAtLeast(before);
+				assertThat(current - this.monotonic).isEqualTo(this.bootClock - this.monotonic - offset);
+				before = current;
 			}
 		}
 	}
 
-	// Returns whether the time of day does not show what happened.
-	private boolean play(SplittableRandom random) {
+	// Returns whether the wall clock hides the event.
+	private boolean applyRandomEvent(SplittableRandom random) {
 		switch (random.nextInt(6)) {
 			case 0 -> suspend(200 + random.nextInt(29_800));
-			case 1 -> this.timeOfDay += random.nextInt(-3_000, 3_000);
+			case 1 -> this.wallClock += random.nextInt(-3_000, 3_000);
 			case 2 -> {
 				long millis = 200 + random.nextInt(5_000);
 				suspend(millis);
-				this.timeOfDay -= millis;
+				this.wallClock -= millis;
 				return true;
 			}
-			case 3 -> this.timeOfDay += random.nextInt(-5, 5);
-			case 4 -> this.heldUp = random.nextInt(5_000);
+			case 3 -> this.wallClock += random.nextInt(-5, 5);
+			case 4 -> this.readingDelay = random.nextInt(5_000);
 			default -> passTime(random.nextInt(10_000));
 		}
 		return false;
 	}
 
 	private void passTime(long millis) {
-		this.steady += millis;
-		this.timeOfDay += millis;
-		this.counting += millis;
+		this.monotonic += millis;
+		this.wallClock += millis;
+		this.bootClock += millis;
 	}
 
 	private void suspend(long millis) {
-		this.timeOfDay += millis;
-		this.counting += millis;
+		this.wallClock += millis;
+		this.bootClock += millis;
 	}
 
-	private long readCounting() {
-		long read = this.counting;
-		passTime(this.heldUp);
-		this.heldUp = 0;
+	private long readBootClock() {
+		long read = this.bootClock;
+		passTime(this.readingDelay);
+		this.readingDelay = 0;
 		return read;
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/time/TimersTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/time/TimersTests.java
@@ -13,7 +13,7 @@
 class TimersTests {
 
 	@Test
-	void runsWhatIsDueInOrderOfTimeAndThenOfAdding() {
+	void runsDueTasksInOrderOfTimeAndThenOfScheduling() {
 		Timers timers = new Timers();
 		List<String> ran = new ArrayList<>();
 		timers.at(20, (t) -> ran.add("late"));
@@ -26,7 +26,7 @@
 	}
 
 	@Test
-	void runsWhatATaskAddsForNow() {
+	void runsTaskThatADueTaskSchedulesForNow() {
 		Timers timers = new Timers();
 		List<String> ran = new ArrayList<>();
 		timers.at(10, (t) -> timers.at(t, (u) -> ran.add("added")));
--- a/laneworks-core/src/test/java/dev/laneworks/core/time/UsualTimeTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/time/UsualTimeTests.java
@@ -9,43 +9,43 @@
  */
 class UsualTimeTests {
 
-	private static final long LEAST = 250;
+	private static final long MIN = 250;
 
-	private static final long MOST = 1_000;
+	private static final long MAX = 1_000;
 
-	private final UsualTime time = new UsualTime(LEAST, MOST);
+	private final UsualTime timeout = new UsualTime(MIN, MAX);
 
 	@Test
-	void allowsTheMostUntilOneIsKnown() {
-		assertThat(this.time.limitMillis()).isEqualTo(MOST);
+	void startsWithTheMaximum() {
+		assertThat(this.timeout.limitMillis()).isEqualTo(MAX);
 	}
 
 	@Test
-	void allowsTheLeastWhereItIsQuick() {
-		this.time.took(3);
-		assertThat(this.time.limitMillis()).isEqualTo(LEAST);
+	void usesTheMinimumForShortDurations() {
+		this.timeout.took(3);
+		assertThat(this.timeout.limitMillis()).isEqualTo(MIN);
 	}
 
 	@Test
-	void allowsMoreWhereItWasSlowAndLessAgainSoonAfter() {
-		this.time.took(300);
-		assertThat(this.time.limitMillis()).isEqualTo(900);
-		this.time.took(700);
-		assertThat(this.time.limitMillis()).isEqualTo(MOST);
+	void growsWithLongDurationsAndShrinksAgain() {
+		this.timeout.took(300);
+		assertThat(this.timeout.limitMillis()).isEqualTo(900);
+		this.timeout.took(700);
+		assertThat(this.timeout.limitMillis()).isEqualTo(MAX);
 		for (int i = 0; i < 20; i++) {
-			this.time.took(3);
+			this.timeout.took(3);
 		}
-		assertThat(this.time.limitMillis()).isEqualTo(LEAST);
+		assertThat(this.timeout.limitMillis()).isEqualTo(MIN);
 	}
 
 	@Test
-	void oneVeryLongTimeIsForgottenSoon() {
-		this.time.took(100);
-		this.time.took(60_000);
+	void recoversFromOneVeryLongDuration() {
+		this.timeout.took(100);
+		this.timeout.took(60_000);
 		for (int i = 0; i < 25; i++) {
-			this.time.took(100);
+			this.timeout.took(100);
 		}
-		assertThat(this.time.limitMillis()).isEqualTo(LEAST);
+		assertThat(this.timeout.limitMillis()).isEqualTo(MIN);
 	}
 
 }
