--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetLimits.java
@@ -102,7 +102,7 @@
 
 	/**
 	 * Record the limit in a response to this entry.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param perSecond the limit, which must be valid; empty if the response has none
 	 * @param requestSentAt the time at which the request was sent, in milliseconds
 	 * @param now the current time in milliseconds
@@ -120,18 +120,18 @@
 	/**
 	 * Record the limit that a target advertised to another entry. An invalid limit is
 	 * ignored.
-	 * @param news the limit
+	 * @param advertised the limit
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if the limit changed
 	 */
-	boolean recordGossiped(LimitNews news, long now) {
-		Limit recorded = this.byIncarnation.get(news.target());
-		long reportedAt = now - news.ageMillis();
+	boolean recordGossiped(LimitNews advertised, long now) {
+		Limit recorded = this.byIncarnation.get(advertised.target());
+		long reportedAt = now - advertised.ageMillis();
 		boolean isOlder = recorded != null && reportedAt <= recorded.reportedAt + MIN_AGE_DIFFERENCE_MILLIS;
-		if (isOlder || !isValid(news.perSecond().orElse(0))) {
+		if (isOlder || !isValid(advertised.perSecond().orElse(0))) {
 			return false;
 		}
-		return update(news.target(), news.perSecond(), reportedAt);
+		return update(advertised.target(), advertised.perSecond(), reportedAt);
 	}
 
 	private boolean update(TargetRun target, OptionalDouble perSecond, long reportedAt) {
@@ -162,7 +162,7 @@
 
 	/**
 	 * Return the time until this entry may send another request to a target.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 * @return milliseconds, 0 if it may do so now; at most the time until any entry has a
 	 * permit
@@ -179,7 +179,7 @@
 
 	/**
 	 * Record that a request is sent to a target.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 */
 	void sent(ListedTarget target, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
@@ -54,7 +54,7 @@
 
 	/**
 	 * Record the signals in a response of a target.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param needs the signals
 	 * @param requestSentAt the time at which the request was sent, in milliseconds
 	 * @param now the current time in milliseconds
@@ -70,17 +70,17 @@
 
 	/**
 	 * Record signals that targets sent to other entries.
-	 * @param news the signals
+	 * @param signals the rate limits and draining targets
 	 * @param isListed determines whether an incarnation is listed; other entries may
 	 * still name one that is not
 	 * @param now the current time in milliseconds
 	 */
-	public void heard(NeedsNews news, Predicate<TargetRun> isListed, long now) {
-		news.limits()
+	public void heard(NeedsNews signals, Predicate<TargetRun> isListed, long now) {
+		signals.limits()
 			.stream()
 			.filter((l) -> isListed.test(l.target()))
 			.forEach((l) -> this.limits.recordGossiped(l, now));
-		news.leaving().forEach((t) -> recordGossipedDraining(t, now));
+		signals.leaving().forEach((t) -> recordGossipedDraining(t, now));
 	}
 
 	/**
@@ -94,7 +94,7 @@
 
 	/**
 	 * Determine whether a target reported to any entry that it is draining.
-	 * @param target the target
+	 * @param target the listed target
 	 * @return {@code true} if it accepts no new requests
 	 */
 	public boolean isLeaving(ListedTarget target) {
@@ -111,7 +111,7 @@
 
 	/**
 	 * Return the time until this entry may send another request to a target.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 * @return milliseconds; 0 if it may do so now
 	 */
@@ -122,7 +122,7 @@
 
 	/**
 	 * Record that a request is sent to a target.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 */
 	public void sent(ListedTarget target, long now) {
@@ -132,7 +132,7 @@
 
 	/**
 	 * Record that a target is not listed any more. Its signals stay in force for a while.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 */
 	public void gone(ListedTarget target, long now) {
@@ -150,7 +150,7 @@
 
 	/**
 	 * Determine whether a target is in a backoff period.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if this entry must not send new requests to it
 	 */
@@ -161,7 +161,7 @@
 	/**
 	 * Determine whether a generation may return to a target where it was before, or
 	 * resume at a copy there.
-	 * @param target the target
+	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 * @return {@code false} if the limit of returns within the current backoff period is
 	 * reached
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -151,26 +151,27 @@
 	/**
 	 * Handle the update of another entry.
 	 * @param from the address of the sender
-	 * @param news the update
+	 * @param update the load update, complete or partial
 	 * @param now the current time in milliseconds
 	 */
-	public void received(String from, EntryNews news, long now) {
+	public void received(String from, EntryNews update, long now) {
 		Optional<Peer> knownPeer = this.known.at(from);
-		if (this.updates.isFromThisProcess(news) || knownPeer.filter((p) -> !p.isReplacedBy(news)).isPresent()) {
+		if (this.updates.isFromThisProcess(update) || knownPeer.filter((p) -> !p.isReplacedBy(update)).isPresent()) {
 			return;
 		}
-		if (news.ending()) {
+		if (update.ending()) {
 			removePeer(from, "it shuts down");
 			return;
 		}
-		this.known.apply(from, news, now);
-		news.work().stream().filter(WorkAtTarget::leaving).forEach((w) -> this.outputs.heardLeaving(w.target()));
-		this.outputs.heardNeeds(news.needs());
+		this.known.apply(from, update, now);
+		update.work().stream().filter(WorkAtTarget::leaving).forEach((w) -> this.outputs.heardLeaving(w.target()));
+		this.outputs.heardNeeds(update.needs());
 		if (knownPeer.isEmpty()) {
-			this.audit.record(AuditEvent.of(AuditKind.MEMBERSHIP, news.instance(), "", "entry discovered at " + from));
+			this.audit
+				.record(AuditEvent.of(AuditKind.MEMBERSHIP, update.instance(), "", "entry discovered at " + from));
 			sendAllWork(List.of(from), now);
 		}
-		contactUnknown(news.peers(), now);
+		contactUnknown(update.peers(), now);
 	}
 
 	/**
@@ -217,7 +218,7 @@
 			if (hasClaim && hasLostTurn(peer, target, now)) {
 				continue;
 			}
-			boolean isBefore = Long.compareUnsigned(Rendezvous.weight(key, peer.news().instance()), own) > 0;
+			boolean isBefore = Long.compareUnsigned(Rendezvous.weight(key, peer.latest().instance()), own) > 0;
 			if (work.filter(WorkAtTarget::copying).isPresent()
 					|| (isBefore && (sinceNoticeMillis < this.settings.newsMillis()
 							|| work.filter((w) -> w.toMove() > 0).isPresent()))) {
@@ -243,7 +244,7 @@
 		return (int) this.known.all()
 			.values()
 			.stream()
-			.filter((p) -> Long.compareUnsigned(Rendezvous.weight(key, p.news().instance()), own) > 0)
+			.filter((p) -> Long.compareUnsigned(Rendezvous.weight(key, p.latest().instance()), own) > 0)
 			.count();
 	}
 
@@ -293,13 +294,13 @@
 	}
 
 	private static boolean isIn(String targetDataCentre, Peer peer) {
-		return peer.news().dataCentre().equals(targetDataCentre);
+		return peer.latest().dataCentre().equals(targetDataCentre);
 	}
 
 	private boolean isFirst(String targetDataCentre, Collection<Peer> others, ToLongBiFunction<String, String> rank) {
 		long own = rank.applyAsLong(targetDataCentre, this.instance);
 		return others.stream()
-			.noneMatch((p) -> Long.compareUnsigned(rank.applyAsLong(targetDataCentre, p.news().instance()), own) > 0);
+			.noneMatch((p) -> Long.compareUnsigned(rank.applyAsLong(targetDataCentre, p.latest().instance()), own) > 0);
 	}
 
 	/**
@@ -356,7 +357,7 @@
 	private void removePeer(String address, String cause) {
 		this.known.remove(address)
 			.ifPresent((p) -> this.audit
-				.record(AuditEvent.of(AuditKind.MEMBERSHIP, p.news().instance(), "", "entry gone: " + cause)));
+				.record(AuditEvent.of(AuditKind.MEMBERSHIP, p.latest().instance(), "", "entry gone: " + cause)));
 	}
 
 	private List<String> nearAndUnknownSeeds() {
@@ -423,9 +424,9 @@
 		return this.updates.ofWorkAt(targets, this.settings.heartbeatMillis());
 	}
 
-	private void send(Collection<String> addresses, EntryNews news, long now) {
+	private void send(Collection<String> addresses, EntryNews update, long now) {
 		this.lastSentAt = now;
-		addresses.forEach((a) -> this.outputs.send(a, news));
+		addresses.forEach((a) -> this.outputs.send(a, update));
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
@@ -14,9 +14,9 @@
 	/**
 	 * Send an update to an entry, without a guarantee of delivery.
 	 * @param address the address of the entry, {@code IP:PORT}
-	 * @param news the update
+	 * @param update the load update, complete or partial
 	 */
-	void send(String address, EntryNews news);
+	void send(String address, EntryNews update);
 
 	/**
 	 * Handle a report of another entry that a target is draining.
@@ -26,9 +26,9 @@
 
 	/**
 	 * Handle back-pressure signals that another entry passes on.
-	 * @param news the signals that it received from targets or from other entries
+	 * @param signals the signals that it received from targets or from other entries
 	 */
-	void heardNeeds(NeedsNews news);
+	void heardNeeds(NeedsNews signals);
 
 	/**
 	 * Return the back-pressure signals of targets to pass on.
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
@@ -56,7 +56,7 @@
 	 * @param againMillis the longest time until the next update to the same receivers, in
 	 * milliseconds
 	 * @param peers the addresses of other entries to pass on
-	 * @return the update
+	 * @return an update with the next sequence number
 	 */
 	EntryNews ofAllWork(long againMillis, List<String> peers) {
 		return build(false, againMillis, this.outputs.ownWork(), peers);
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
@@ -27,7 +27,7 @@
 	/** The time since which consecutive updates report a copy from or to a target. */
 	private final Map<TargetRun, Long> copyingSince = new HashMap<>();
 
-	private EntryNews news;
+	private EntryNews latest;
 
 	private long receivedAt;
 
@@ -35,7 +35,7 @@
 
 	/**
 	 * Apply an update, which must be newer than all before.
-	 * @param update the update
+	 * @param update the load update, complete or partial
 	 * @param now the current time in milliseconds
 	 * @return the incarnations of the targets at which the work may have changed
 	 */
@@ -51,7 +51,7 @@
 			this.work.put(reported.target(), reported);
 		}
 		affected.forEach((t) -> trackCopying(t, now));
-		this.news = update;
+		this.latest = update;
 		this.receivedAt = now;
 		this.againMillis = Math.max(this.againMillis, update.againMillis());
 		return affected;
@@ -77,7 +77,7 @@
 	 * @return {@code false} if it comes from the same process and is not newer
 	 */
 	boolean isReplacedBy(EntryNews other) {
-		return isOtherProcess(other) || this.news.sequence() < other.sequence();
+		return isOtherProcess(other) || this.latest.sequence() < other.sequence();
 	}
 
 	/**
@@ -86,7 +86,7 @@
 	 * @return {@code true} if the entry was restarted
 	 */
 	boolean isOtherProcess(EntryNews other) {
-		return this.news.incarnation() != other.incarnation();
+		return this.latest.incarnation() != other.incarnation();
 	}
 
 	boolean isSilent(long now) {
@@ -99,8 +99,8 @@
 	}
 
 	// The latest update, complete or partial.
-	EntryNews news() {
-		return this.news;
+	EntryNews latest() {
+		return this.latest;
 	}
 
 	// Its latest reported work at a target; empty if it reported none.
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
@@ -49,15 +49,15 @@
 	/**
 	 * Apply an update, which must be newer than all before from the same address.
 	 * @param address the address of the sender
-	 * @param news the update
+	 * @param update the load update, complete or partial
 	 * @param now the current time in milliseconds
 	 */
-	void apply(String address, EntryNews news, long now) {
-		if (at(address).filter((p) -> p.isOtherProcess(news)).isPresent()) {
+	void apply(String address, EntryNews update, long now) {
+		if (at(address).filter((p) -> p.isOtherProcess(update)).isPresent()) {
 			remove(address);
 		}
 		Peer peer = this.peers.computeIfAbsent(address, (a) -> new Peer());
-		updateTotals(peer.apply(news, now));
+		updateTotals(peer.apply(update, now));
 	}
 
 	/**
@@ -93,7 +93,7 @@
 			return Optional.empty();
 		}
 		return Optional.of(Stream.concat(this.peers.values().stream(), this.departed.stream())
-			.flatMap((p) -> p.news().spending().stream())
+			.flatMap((p) -> p.latest().spending().stream())
 			.filter((s) -> s.service().equals(service))
 			.reduce(new ServiceSpending(service, 0, 0), ServiceSpending::plus));
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
@@ -43,15 +43,15 @@
 
 	/**
 	 * Return the distant peers that are due at a heartbeat.
-	 * @param beat the number of the heartbeat
+	 * @param heartbeat the number of the heartbeat
 	 * @return the addresses of a part of the distant peers; each one is due once in
 	 * {@link GossipSettings#distantBeats} heartbeats
 	 */
-	List<String> distantAt(int beat) {
+	List<String> distantAt(int heartbeat) {
 		List<String> distant = distant();
 		List<String> due = new ArrayList<>();
 		for (int i = 0; i < distant.size(); i++) {
-			if ((i + beat) % this.settings.distantBeats() == 0) {
+			if ((i + heartbeat) % this.settings.distantBeats() == 0) {
 				due.add(distant.get(i));
 			}
 		}
@@ -98,10 +98,10 @@
 			.entrySet()
 			.stream()
 			.filter((e) -> !isSameDataCentre(e.getValue()))
-			.collect(Collectors.groupingBy((e) -> e.getValue().news().dataCentre()));
+			.collect(Collectors.groupingBy((e) -> e.getValue().latest().dataCentre()));
 		Comparator<Map.Entry<String, Peer>> highestFirst = Comparator.comparing((e) -> {
-			EntryNews news = e.getValue().news();
-			return rank.applyAsLong(news.dataCentre(), news.instance());
+			EntryNews latest = e.getValue().latest();
+			return rank.applyAsLong(latest.dataCentre(), latest.instance());
 		}, (a, b) -> Long.compareUnsigned(b, a));
 		return byDataCentre.values()
 			.stream()
@@ -119,7 +119,7 @@
 	}
 
 	private boolean isSameDataCentre(Peer peer) {
-		return peer.news().dataCentre().equals(this.dataCentre);
+		return peer.latest().dataCentre().equals(this.dataCentre);
 	}
 
 	private List<String> addressesWhere(Predicate<Peer> condition) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ServiceSpending.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ServiceSpending.java
@@ -19,7 +19,7 @@
 	/**
 	 * Add the use by other entries.
 	 * @param other the use of the budget of the same service
-	 * @return the sum
+	 * @return the sum of each count
 	 */
 	public ServiceSpending plus(ServiceSpending other) {
 		return new ServiceSpending(this.service, this.requests + other.requests, this.repeats + other.repeats);
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/WorkAtTarget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/WorkAtTarget.java
@@ -37,7 +37,7 @@
 	/**
 	 * Add other work at the same target.
 	 * @param other the work of other entries
-	 * @return the sum
+	 * @return the sum of each count
 	 */
 	public WorkAtTarget plus(WorkAtTarget other) {
 		return new WorkAtTarget(this.target, this.requests + other.requests, this.heldTokens + other.heldTokens,
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateGiver.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StateGiver.java
@@ -46,18 +46,18 @@
 
 	/**
 	 * Answer a request for chunks.
-	 * @param question the request
+	 * @param request the revision and the first missing chunk
 	 * @param now the current time in milliseconds
 	 * @return the next missing chunks, from the first one if another revision than the
 	 * current one is requested; empty if this process has no snapshot
 	 */
-	public List<StatePiece> answer(StateQuestion question, long now) {
+	public List<StatePiece> answer(StateQuestion request, long now) {
 		if (this.chunks.isEmpty() || now - this.encodedAt > REUSE_MILLIS) {
 			this.chunks = this.state.apply(now).map(this::split).orElse(List.of());
 			this.encodedAt = now;
 		}
-		boolean isSame = !this.chunks.isEmpty() && this.chunks.get(0).revision() == question.revision();
-		int first = isSame ? question.firstPiece() : 0;
+		boolean isSame = !this.chunks.isEmpty() && this.chunks.get(0).revision() == request.revision();
+		int first = isSame ? request.firstPiece() : 0;
 		return this.chunks.stream().skip(first).limit(WINDOW).toList();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateTaker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StateTaker.java
@@ -76,18 +76,18 @@
 	/**
 	 * Handle a chunk.
 	 * @param from the address of the sender
-	 * @param piece the chunk
+	 * @param chunk one part of an encoded snapshot
 	 * @param now the current time in milliseconds
 	 */
-	public void received(String from, StatePiece piece, long now) {
+	public void received(String from, StatePiece chunk, long now) {
 		if (!this.isActive || !this.peers.get().contains(from)) {
 			return;
 		}
-		if (this.partial.filter((g) -> g.revision() >= piece.revision()).isEmpty()) {
-			this.partial = Optional.of(new PartialSnapshot(from, piece));
+		if (this.partial.filter((g) -> g.revision() >= chunk.revision()).isEmpty()) {
+			this.partial = Optional.of(new PartialSnapshot(from, chunk));
 		}
 		PartialSnapshot state = this.partial.get();
-		if (!state.add(from, piece, now)) {
+		if (!state.add(from, chunk, now)) {
 			return;
 		}
 		if (state.isComplete()) {
@@ -170,11 +170,11 @@
 		}
 
 		// Returns whether the chunk belongs to this snapshot and was missing.
-		boolean add(String sender, StatePiece piece, long now) {
-			boolean isNew = sender.equals(this.from) && piece.revision() == this.revision
-					&& piece.count() == this.chunks.length && this.chunks[piece.number()] == null;
+		boolean add(String sender, StatePiece chunk, long now) {
+			boolean isNew = sender.equals(this.from) && chunk.revision() == this.revision
+					&& chunk.count() == this.chunks.length && this.chunks[chunk.number()] == null;
 			if (isNew) {
-				this.chunks[piece.number()] = piece.data();
+				this.chunks[chunk.number()] = chunk.data();
 				this.receivedAt = now;
 			}
 			return isNew;
@@ -195,8 +195,8 @@
 
 		byte[] bytes() {
 			ByteArrayOutputStream all = new ByteArrayOutputStream();
-			for (byte[] piece : this.chunks) {
-				all.writeBytes(piece);
+			for (byte[] chunk : this.chunks) {
+				all.writeBytes(chunk);
 			}
 			return all.toByteArray();
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/RequestDigest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/RequestDigest.java
@@ -36,7 +36,7 @@
 	 * @param account the client account, or an empty string on an open route
 	 * @param host the host that the request names
 	 * @param uri the path and query, unmodified
-	 * @param body the body
+	 * @param body the bytes of the request body
 	 * @return the digest
 	 */
 	public static RequestDigest of(String account, String host, String uri, byte[] body) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -107,7 +107,7 @@
 	/**
 	 * Handle the report of another process. The completion is applied first, because it
 	 * refutes the request as the cause of earlier crashes.
-	 * @param report the report
+	 * @param report the crashes and the latest completion of one request
 	 * @param now the current time in milliseconds
 	 */
 	public void heard(SuspectReport report, long now) {
@@ -137,7 +137,7 @@
 
 	/**
 	 * Return the settings of this registry.
-	 * @return the settings
+	 * @return the thresholds and durations in force
 	 */
 	public PoisonSettings settings() {
 		return this.settings;
@@ -191,7 +191,7 @@
 	 * @param recentMillis the age up to which a single crash is recent, in milliseconds
 	 * @param limit the most reports, for the requests with the latest crashes
 	 * @param now the current time in milliseconds
-	 * @return the reports
+	 * @return one report for each such request
 	 */
 	public List<SuspectReport> reports(long recentMillis, int limit, long now) {
 		removeExpired(now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/Rendezvous.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/Rendezvous.java
@@ -26,7 +26,7 @@
 	/**
 	 * Hash a string to a key.
 	 * @param text the string
-	 * @return the key
+	 * @return a 64-bit hash
 	 */
 	public static long hash(String text) {
 		return HASH.hashChars(text);
@@ -34,7 +34,7 @@
 
 	/**
 	 * Compute the weight of a node for a key.
-	 * @param key the key
+	 * @param key the hash of the key, see {@link #hash}
 	 * @param node the name of the node
 	 * @return the weight, to be compared as an unsigned number
 	 */
@@ -48,8 +48,8 @@
 	/**
 	 * Return the node with the highest weight.
 	 * @param <N> the type of node
-	 * @param key the key
-	 * @param nodes the nodes
+	 * @param key the hash of the key, see {@link #hash}
+	 * @param nodes the candidates
 	 * @param name extracts the name of a node
 	 * @return the node, or empty if there are none
 	 */
@@ -69,8 +69,8 @@
 	/**
 	 * Return the nodes with the highest weights.
 	 * @param <N> the type of node
-	 * @param key the key
-	 * @param nodes the nodes
+	 * @param key the hash of the key, see {@link #hash}
+	 * @param nodes the candidates
 	 * @param name extracts the name of a node
 	 * @param count the most nodes to return
 	 * @return the nodes, highest weight first
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/Route.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/Route.java
@@ -5,7 +5,7 @@
 /**
  * Target selected for a request.
  *
- * @param target the target
+ * @param target the selected target
  * @param reason the reason for the selection, for operators
  * @since 0.1
  */
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -132,17 +132,17 @@
 	 */
 	double peakRatio() {
 		Deque<Long> window = new ArrayDeque<>();
-		int most = 0;
+		int peak = 0;
 		for (long at : this.arrivals) {
 			if (at >= CHECKED_FROM_MILLIS) {
 				window.add(at);
 				while (window.peekFirst() <= at - WINDOW_MILLIS) {
 					window.removeFirst();
 				}
-				most = Math.max(most, window.size());
+				peak = Math.max(peak, window.size());
 			}
 		}
-		return most / (1.5 * this.limit * WINDOW_MILLIS / 1_000 + 5);
+		return peak / (1.5 * this.limit * WINDOW_MILLIS / 1_000 + 5);
 	}
 
 	/**
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -106,13 +106,13 @@
 
 	@Test
 	void ignoresUnknownSendersAndInactiveTransfers() {
-		StatePiece piece = new StatePiece(900, 0, 0, 1, "k=v".getBytes(StandardCharsets.UTF_8));
-		this.fetcher.received(A, piece, 0);
+		StatePiece chunk = new StatePiece(900, 0, 0, 1, "k=v".getBytes(StandardCharsets.UTF_8));
+		this.fetcher.received(A, chunk, 0);
 		this.fetcher.start(0);
-		this.fetcher.received("10.9.9.9:7200", piece, 0);
+		this.fetcher.received("10.9.9.9:7200", chunk, 0);
 		assertThat(this.results).isEmpty();
 		this.fetcher.stop();
-		this.fetcher.received(A, piece, 0);
+		this.fetcher.received(A, chunk, 0);
 		passTime(500);
 		assertThat(this.results).isEmpty();
 		assertThat(this.requests).hasSize(2);
@@ -124,10 +124,10 @@
 		assertThat(this.server.answer(new StateQuestion(StateQuestion.ANY_REVISION, 0), 0)).isEmpty();
 	}
 
-	private void sendRequest(String address, StateQuestion question) {
-		this.requests.add(address + ' ' + question.revision() + ' ' + question.firstPiece());
+	private void sendRequest(String address, StateQuestion request) {
+		this.requests.add(address + ' ' + request.revision() + ' ' + request.firstPiece());
 		if (!this.isServerSilent && address.equals(A)) {
-			this.server.answer(question, this.now).forEach((p) -> this.inTransit.add(new Sent(A, p)));
+			this.server.answer(request, this.now).forEach((p) -> this.inTransit.add(new Sent(A, p)));
 		}
 	}
 
@@ -138,7 +138,7 @@
 	}
 
 	private void deliver(Sent sent) {
-		this.fetcher.received(sent.from, sent.piece, this.now);
+		this.fetcher.received(sent.from, sent.chunk, this.now);
 	}
 
 	private void passTime(long millis) {
@@ -150,7 +150,7 @@
 		return new StoreState(revision, 300, List.of(new StoreItem("a", "x".repeat(length)), new StoreItem("b", "y")));
 	}
 
-	private record Sent(String from, StatePiece piece) {
+	private record Sent(String from, StatePiece chunk) {
 
 	}
 
