--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
@@ -63,7 +63,7 @@
 		recordLimit(target, needs.limitPerSecond(), requestSentAt, now);
 		recordRequestedBackoff(target, needs.restMillis(), now);
 		if (needs.leaving() && this.leaving.recordOwnReport(target.run(), now)) {
-			record(target, "reported that it is draining: no new requests are sent there");
+			record(target, "reported that it is leaving: no new requests are sent there");
 			this.announcer.accept(target.run());
 		}
 	}
@@ -190,7 +190,7 @@
 	private void recordGossipedDraining(TargetRun target, long now) {
 		if (this.leaving.recordDraining(target, now)) {
 			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target.id(), target.id(),
-					"reported to another entry that it is draining: no new requests are sent there"));
+					"reported to another entry that it is leaving: no new requests are sent there"));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallRefusals.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallRefusals.java
@@ -27,7 +27,7 @@
 	}
 
 	static Refusal waitTooLong() {
-		return Refusal.notRun(RefusalReason.WAIT_TOO_LONG, "no slot became free before the caller's timeout",
+		return Refusal.notRun(RefusalReason.WAIT_TOO_LONG, "no slot became free within the caller's timeout",
 				NO_TARGET_RETRY);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -35,7 +35,7 @@
  */
 public final class Dispatcher {
 
-	private static final String RESTARTED = "the target restarted";
+	private static final String RESTARTED = "the target started again";
 
 	private final DispatchSettings settings;
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -367,7 +367,7 @@
 		}
 		if (this.resumption.isOver(copying.destination())) {
 			removeFromQueue(call, copying, now);
-			this.resumption.lost(call, "both engines of its move were restarted", now);
+			this.resumption.lost(call, "both engines of its move started again", now);
 			return;
 		}
 		ListedTarget destination = copying.destination();
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostRefusals.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostRefusals.java
@@ -28,7 +28,7 @@
 	}
 
 	static Refusal draining() {
-		return retryElsewhere(RefusalReason.LEAVING, "the target is draining");
+		return retryElsewhere(RefusalReason.LEAVING, "the target is leaving");
 	}
 
 	static Refusal retryHere(RefusalReason reason, String detail) {
