--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenRequests.java
@@ -51,7 +51,7 @@
 	}
 
 	/**
-	 * Return where a request broke off and the state of the target is not known yet.
+	 * Return the targets where a request broke off and that may still be found crashed.
 	 * @param digest the digest of the request
 	 * @param now the current time in milliseconds
 	 * @return the incarnations of the targets
--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/RetryBudget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/RetryBudget.java
@@ -66,7 +66,7 @@
 
 	/**
 	 * Return the number of available retries.
-	 * @return the balance, as of the latest call of {@link #tryTake}
+	 * @return the balance, refilled at the latest call of {@link #tryTake}
 	 */
 	public double balance() {
 		return this.balance;
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetState.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetState.java
@@ -97,7 +97,7 @@
 	/**
 	 * Record that the link to the sidecar of the target is up.
 	 * @param newIncarnation whether the process differs from the previous one, whose
-	 * state is discarded
+	 * health and draining state are discarded
 	 */
 	public void recordLinkUp(boolean newIncarnation) {
 		this.linked = true;
