--- a/laneworks-entry/src/main/java/dev/laneworks/entry/CheckConfigCommand.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/CheckConfigCommand.java
@@ -15,7 +15,7 @@
 import io.vavr.control.Either;
 
 /**
- * Says of a configuration document what any instance would say.
+ * Validates a configuration document with the rules that every entry and sidecar applies.
  */
 final class CheckConfigCommand implements ProgramCommand {
 
@@ -26,13 +26,13 @@
 
 	@Override
 	public String summary() {
-		return "FILE  check a configuration document as any instance would";
+		return "FILE  validate a configuration document as every entry and sidecar does";
 	}
 
 	@Override
 	public ExitCode run(List<String> arguments, PrintStream out, PrintStream err) {
 		if (arguments.size() != 1) {
-			err.println("laneworks-entry check-config: exactly one FILE is needed");
+			err.println("laneworks-entry check-config: exactly one FILE is required");
 			return ExitCode.USAGE;
 		}
 		String file = arguments.get(0);
@@ -41,7 +41,7 @@
 			text = Files.readString(Path.of(file), StandardCharsets.UTF_8);
 		}
 		catch (IOException ex) {
-			err.println(file + ": can't be read: " + ex.getMessage());
+			err.println(file + ": cannot be read: " + ex.getMessage());
 			return ExitCode.USAGE;
 		}
 		Either<InvalidDocumentException, FleetConfiguration> parsed = ConfigurationParser.parse(file, text);
@@ -50,7 +50,7 @@
 			return ExitCode.USAGE;
 		}
 		FleetConfiguration configuration = parsed.get();
-		out.printf("%s: version %d is good: %d targets, %d accounts, %d intents%n", file, configuration.version(),
+		out.printf("%s: version %d is valid: %d targets, %d accounts, %d intents%n", file, configuration.version(),
 				configuration.targets().size(), configuration.accounts().size(), configuration.intents().size());
 		return ExitCode.OK;
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/DutyCalls.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/DutyCallPort.java
@@ -14,46 +14,46 @@
 import dev.laneworks.core.stream.OnceTicket;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.entry.caller.CallPort;
-import dev.laneworks.entry.caller.CallerAnswer;
+import dev.laneworks.entry.caller.CallerResponse;
 import dev.laneworks.runtime.duty.Duty;
 import dev.laneworks.runtime.program.MonotonicClock;
 
 /**
- * Gives callers' requests to the deciding duty.
+ * Submits callers' requests to the duty that makes all routing decisions.
  */
-final class DutyCalls implements CallPort {
+final class DutyCallPort implements CallPort {
 
 	private final Supplier<Duty<EntryState>> duty;
 
 	private final int maxCalls;
 
-	private final AtomicLong numbers = new AtomicLong();
+	private final AtomicLong callNumbers = new AtomicLong();
 
-	/** The incarnations of the sidecars whose links are up. */
+	/** Incarnations of the sidecars whose links are up, by target name. */
 	private final Map<String, Long> incarnations = new ConcurrentHashMap<>();
 
 	private volatile FleetConfiguration configuration;
 
 	private volatile int openCalls;
 
-	DutyCalls(Supplier<Duty<EntryState>> duty, int maxCalls) {
+	DutyCallPort(Supplier<Duty<EntryState>> duty, int maxCalls) {
 		this.duty = duty;
 		this.maxCalls = maxCalls;
 	}
 
-	void inForce(FleetConfiguration newConfiguration) {
+	void applyConfiguration(FleetConfiguration newConfiguration) {
 		this.configuration = newConfiguration;
 	}
 
-	void linkUp(String target, long incarnation) {
+	void onLinkUp(String target, long incarnation) {
 		this.incarnations.put(target, incarnation);
 	}
 
-	void linkDown(String target) {
+	void onLinkDown(String target) {
 		this.incarnations.remove(target);
 	}
 
-	void openCalls(int count) {
+	void setOpenCalls(int count) {
 		this.openCalls = count;
 	}
 
@@ -63,38 +63,38 @@
 	}
 
 	@Override
-	public long nextCall() {
-		return this.numbers.incrementAndGet();
+	public long nextCallNumber() {
+		return this.callNumbers.incrementAndGet();
 	}
 
 	@Override
-	public boolean open(long call, CallRequest request, CallerAnswer answer) {
+	public boolean open(long call, CallRequest request, CallerResponse response) {
 		return this.openCalls < this.maxCalls && this.duty.get().offer((s) -> {
-			s.register(call, answer);
+			s.register(call, response);
 			s.coordinator().open(call, request, MonotonicClock.millis());
 		});
 	}
 
 	@Override
-	public boolean resume(long call, CallRequest request, StreamPosition position, CallerAnswer answer) {
+	public boolean resume(long call, CallRequest request, StreamPosition position, CallerResponse response) {
 		return this.openCalls < this.maxCalls && this.duty.get().offer((s) -> {
-			s.register(call, answer);
+			s.register(call, response);
 			s.coordinator().resume(call, request, position, MonotonicClock.millis());
 		});
 	}
 
 	@Override
-	public void read(long call, long offset) {
+	public void recordConsumed(long call, long offset) {
 		this.duty.get().put((s) -> s.coordinator().onCallerRead(call, offset));
 	}
 
 	@Override
-	public void left(long call) {
-		this.duty.get().put((s) -> s.callerLeft(call));
+	public void onCallerDisconnected(long call) {
+		this.duty.get().put((s) -> s.onCallerDisconnected(call));
 	}
 
 	@Override
-	public Optional<OnceTicket> ticket(String account, String model) {
+	public Optional<OnceTicket> createTicket(String account, String model) {
 		FleetConfiguration current = this.configuration;
 		if (current == null) {
 			return Optional.empty();
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -38,27 +38,27 @@
 import io.undertow.Handlers;
 
 /**
- * One running entry: its threads, its links, its callers.
+ * One running entry with its threads, its links to sidecars and its HTTP server.
  * <p>
- * The duties are: deciding, links (one event loop), HTTP (I/O threads of one worker) and
- * logging.
+ * Routing decisions run on one duty thread, links on one event loop, HTTP on the I/O
+ * threads of one worker, and logging on a thread of its own.
  *
  * @since 0.1
  */
 public final class Entry {
 
-	private static final int RING = 16_384;
+	private static final int RING_CAPACITY = 16_384;
 
-	private static final Duration TICK = Duration.ofMillis(10);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(10);
 
-	private static final long PEERS_SUFFICE_MILLIS = 30_000;
+	private static final long PEER_CONFIRMATION_MAX_AGE_MILLIS = 30_000;
 
 	private static final double RETRIES_PER_SECOND = 1;
 
-	private static final double RETRIES_SAVED = 20;
+	private static final double MAX_SAVED_RETRIES = 20;
 
-	/** How long the balancer may go on sending callers after readiness ends. */
-	private static final long BALANCER_MILLIS = 2_000;
+	/** How long a load balancer may still send requests after readiness ends. */
+	private static final long BALANCER_GRACE_MILLIS = 2_000;
 
 	private final EntrySettings settings;
 
@@ -66,7 +66,7 @@
 
 	private final SplittableRandom random = new SplittableRandom(ThreadLocalRandom.current().nextLong());
 
-	private final DutyCalls calls;
+	private final DutyCallPort calls;
 
 	private volatile long stoppingSince;
 
@@ -76,46 +76,46 @@
 
 	private TargetLinks links;
 
-	private volatile CallerServer callers;
+	private volatile CallerServer callerServer;
 
 	/**
-	 * Create an entry; {@link #run()} starts it.
-	 * @param settings its settings
+	 * Create an entry that {@link #run()} starts.
+	 * @param settings the settings of the process
 	 */
 	public Entry(EntrySettings settings) {
 		this.settings = settings;
 		this.parts = new ProcessParts("entry", settings.common(), 2);
-		this.calls = new DutyCalls(() -> this.duty, settings.callers().maxCalls());
+		this.calls = new DutyCallPort(() -> this.duty, settings.callers().maxCalls());
 	}
 
 	/**
-	 * Run until the planned stop is over.
-	 * @return how the process ends
+	 * Start the entry and wait until its graceful shutdown is complete.
+	 * @return the exit code of the process
 	 */
 	public ExitCode run() {
-		MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-		this.duty = new Duty<>("calls", createState(loops.next()), RING, TICK, this::tick);
+		MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+		this.duty = new Duty<>("calls", createState(eventLoops.next()), RING_CAPACITY, TICK_INTERVAL, this::tick);
 		this.parts.supervisor().start(this.duty);
-		this.callers = new CallerServer(this.parts.io(), this.settings.callers(), this.calls, this.settings.secret(),
-				new CallTimes(this.parts.metrics()), this::isReady);
+		this.callerServer = new CallerServer(this.parts.io(), this.settings.callers(), this.calls,
+				this.settings.secret(), new CallTimes(this.parts.metrics()), this::isReady);
 		OperatorServer operators = new OperatorServer(this.parts.io().worker(),
 				this.settings.common().operatorAddress(), this.parts.metrics(), this.parts.audit(), this::isReady,
 				() -> ProcessParts.ask(this.duty, this::status), Handlers.routing());
 		operators.start();
-		this.callers.start();
+		this.callerServer.start();
 		LogLine.of("started").with("address", this.settings.callers().address().toString()).info();
 		ExitCode code = this.parts.awaitEnd();
-		this.callers.stop();
+		this.callerServer.stop();
 		operators.stop();
 		this.links.close();
 		this.parts.supervisor().stop();
-		loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+		eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
 		return code;
 	}
 
 	/**
-	 * Start the planned stop: fail the health check, go on with what is under way, then
-	 * end.
+	 * Start a graceful shutdown: fail the readiness check, complete the open requests,
+	 * then end.
 	 */
 	public void stop() {
 		this.stoppingSince = Math.max(1, MonotonicClock.millis());
@@ -131,45 +131,47 @@
 		DefaultTargetSelector selector = new DefaultTargetSelector(board, subset, dataCentre, this.random);
 		PeerIdentity self = new PeerIdentity(instance, dataCentre, this.random.nextLong());
 		this.links = new TargetLinks(loop, self, LinkSettings.defaults(), this.random.split(),
-				new SidecarLinks((c) -> this.duty.put(c), this.calls));
+				new SidecarLinkListener((c) -> this.duty.put(c), this.calls));
 		EntryState state = new EntryState(board, selector, this.links, seeds());
 		Backoff backoff = new Backoff(Duration.ofMillis(50), Duration.ofSeconds(2), this.random);
-		RetryBudget budget = new RetryBudget(this.settings.retryShare(), RETRIES_PER_SECOND, RETRIES_SAVED);
+		RetryBudget budget = new RetryBudget(this.settings.retryShare(), RETRIES_PER_SECOND, MAX_SAVED_RETRIES);
 		CallCoordinator coordinator = new CallCoordinator(this.settings.calls(), selector, board, budget, backoff,
 				state, this.parts.audit());
-		state.use(coordinator, keeper());
+		state.attach(coordinator, createConfigurationKeeper());
 		registerMetrics(coordinator.counters());
 		return state;
 	}
 
-	private ConfigurationKeeper keeper() {
+	private ConfigurationKeeper createConfigurationKeeper() {
 		Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofSeconds(5), this.random);
 		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationLedger(),
-				this.parts.configurationService(), backoff, PEERS_SUFFICE_MILLIS,
-				(t) -> this.duty.put((s) -> t.accept(MonotonicClock.millis())), this::inForce, this.parts.audit());
+				this.parts.configurationService(), backoff, PEER_CONFIRMATION_MAX_AGE_MILLIS,
+				(t) -> this.duty.put((s) -> t.accept(MonotonicClock.millis())), this::applyConfiguration,
+				this.parts.audit());
 		keeper.setWatcher(false);
 		return keeper;
 	}
 
-	private void inForce(FleetConfiguration configuration) {
-		this.calls.inForce(configuration);
-		this.duty.put((s) -> s.inForce(configuration));
+	private void applyConfiguration(FleetConfiguration configuration) {
+		this.calls.applyConfiguration(configuration);
+		this.duty.put((s) -> s.applyConfiguration(configuration));
 		this.ready = true;
 	}
 
 	private void tick(EntryState state) {
 		state.tick();
-		this.calls.openCalls(state.coordinator().openCalls());
+		this.calls.setOpenCalls(state.coordinator().openCalls());
 		long since = this.stoppingSince;
-		if (since != 0 && MonotonicClock.millis() - since >= BALANCER_MILLIS && isIdle(state)) {
+		if (since != 0 && MonotonicClock.millis() - since >= BALANCER_GRACE_MILLIS && isIdle(state)) {
 			this.parts.end(ExitCode.OK);
 		}
 	}
 
-	// A call is over when its output was given to its connection; its answer only when
-	// that was written.
+	// A call ends when its output has been passed to the connection, its response only
+	// when that output has been written.
 	private boolean isIdle(EntryState state) {
-		return state.coordinator().openCalls() == 0 && (this.callers == null || this.callers.openAnswers() == 0);
+		return state.coordinator().openCalls() == 0
+				&& (this.callerServer == null || this.callerServer.openResponses() == 0);
 	}
 
 	private boolean isReady() {
@@ -180,21 +182,22 @@
 		long now = MonotonicClock.millis();
 		ConfigurationLedger ledger = state.keeper().ledger();
 		long age = ledger.confirmedAgeMillis(now);
-		List<EntryStatus.TargetBelief> targets = state.selector()
+		List<EntryStatus.TargetStatus> targets = state.selector()
 			.usedTargets()
 			.stream()
-			.map((t) -> belief(state, t, now))
+			.map((t) -> targetStatus(state, t, now))
 			.toList();
 		return new EntryStatus(this.settings.common().instance(), this.settings.common().dataCentre(), ledger.version(),
 				ledger.digest(), (age != ConfigurationLedger.NEVER_CONFIRMED) ? age : -1, state.keeper().lastRefusal(),
 				state.keeper().serviceCalls(), state.coordinator().openCalls(), targets);
 	}
 
-	private static EntryStatus.TargetBelief belief(EntryState state, TargetDescription target, long now) {
-		TargetState known = state.board().state(target.name());
-		return new EntryStatus.TargetBelief(target.name(), target.dataCentre(),
-				state.coordinator().incarnation(target.name()).isPresent(), known.isLeaving(),
-				!known.health().isUsable(now), known.inFlight(), known.reportAgeMillis(now), known.report());
+	private static EntryStatus.TargetStatus targetStatus(EntryState state, TargetDescription target, long now) {
+		TargetState targetState = state.board().state(target.name());
+		return new EntryStatus.TargetStatus(target.name(), target.dataCentre(),
+				state.coordinator().incarnation(target.name()).isPresent(), targetState.isLeaving(),
+				!targetState.health().isUsable(now), targetState.inFlight(), targetState.reportAgeMillis(now),
+				targetState.report());
 	}
 
 	private void registerMetrics(CallCounters counters) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryMain.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryMain.java
@@ -9,7 +9,7 @@
 import dev.laneworks.runtime.program.StopSignals;
 
 /**
- * The command line of {@code laneworks-entry}.
+ * Main class of {@code laneworks-entry}.
  *
  * @since 0.1
  */
@@ -24,7 +24,7 @@
 	 */
 	public static void main(String[] arguments) {
 		Program<EntrySettings> program = new Program<>("laneworks-entry",
-				"takes callers' requests and streams their answers", EntrySettings::read, EntryMain::run,
+				"accepts callers' requests and streams the responses", EntrySettings::read, EntryMain::run,
 				List.of(new CheckConfigCommand(), new ExplainCommand()));
 		System.exit(program.run(arguments, System.out, System.err).code());
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntrySettings.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntrySettings.java
@@ -14,31 +14,31 @@
 import dev.laneworks.runtime.program.CommonSettings;
 
 /**
- * The settings of an entry.
+ * Settings of an entry.
  *
- * @param common what both programs have
- * @param callers the bounds of callers' connections and requests
- * @param calls the bounds and times of calls
- * @param ownShare the most targets of a model used in the entry's own data centre
- * @param otherShare the most targets of a model used in each other data centre
- * @param retryShare the retries earned by one success
- * @param secret the secret that all entries share
- * @param seeds sidecars that are asked for the configuration when the service can't be
- * reached
- * @param drainLimit how long a planned stop may take, or zero for as long as it needs
+ * @param common the settings that entries and sidecars share
+ * @param callers the limits of callers' connections and requests
+ * @param calls the limits and timeouts of calls
+ * @param ownShare the maximum number of targets per model in the entry's own data centre
+ * @param otherShare the maximum number of targets per model in each other data centre
+ * @param retryShare the number of retries that each success adds to the retry budget
+ * @param secret the key shared by all entries that seals tickets and stream positions
+ * @param seeds sidecars to fetch the configuration from while the configuration service
+ * is unreachable
+ * @param drainLimit the time limit of a graceful shutdown, or zero for none
  * @since 0.1
  */
 public record EntrySettings(CommonSettings common, CallerSettings callers, CallSettings calls, int ownShare,
 		int otherShare, double retryShare, byte[] secret, List<InetSocketAddress> seeds, Duration drainLimit) {
 
-	private static final Duration ONE_MILLI = Duration.ofMillis(1);
+	private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
 
-	private static final Duration ONE_MINUTE = Duration.ofMinutes(1);
+	private static final Duration MAX_TIMEOUT = Duration.ofMinutes(1);
 
 	/**
-	 * Read the settings.
-	 * @param root the document
-	 * @return the settings
+	 * Read the settings from a settings document.
+	 * @param root the root of the document
+	 * @return the validated settings
 	 */
 	public static EntrySettings read(DocumentObject root) {
 		DocumentObject routing = root.object("routing");
@@ -74,8 +74,8 @@
 		return seeds;
 	}
 
-	private static long millis(DocumentObject object, String name, long fallback) {
-		return object.duration(name, ONE_MILLI, ONE_MINUTE, Duration.ofMillis(fallback)).toMillis();
+	private static long millis(DocumentObject object, String name, long defaultMillis) {
+		return object.duration(name, MIN_TIMEOUT, MAX_TIMEOUT, Duration.ofMillis(defaultMillis)).toMillis();
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
@@ -20,17 +20,17 @@
 import dev.laneworks.core.routing.TargetBoard;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.core.verdict.Refusal;
-import dev.laneworks.entry.caller.CallerAnswer;
+import dev.laneworks.entry.caller.CallerResponse;
 import dev.laneworks.runtime.program.MonotonicClock;
 import dev.laneworks.wire.Link;
 import dev.laneworks.wire.TargetLinks;
 
 /**
- * What the entry's one deciding duty owns.
+ * Mutable state of an entry, confined to the thread of its duty.
  */
 final class EntryState implements CallOutputs {
 
-	private final Map<Long, CallerAnswer> answers = new HashMap<>();
+	private final Map<Long, CallerResponse> responses = new HashMap<>();
 
 	private final Map<String, InetSocketAddress> seeds;
 
@@ -53,8 +53,8 @@
 		links.use(this.seeds, this.seeds.keySet());
 	}
 
-	// The coordinator's outputs are this object, so it comes after.
-	void use(CallCoordinator newCoordinator, ConfigurationKeeper newKeeper) {
+	// Not in the constructor, since the coordinator takes this object as its outputs.
+	void attach(CallCoordinator newCoordinator, ConfigurationKeeper newKeeper) {
 		this.coordinator = newCoordinator;
 		this.exchange = new ConfigurationExchange(newKeeper, this.links::broadcast, true);
 	}
@@ -75,27 +75,27 @@
 		return this.selector;
 	}
 
-	void register(long call, CallerAnswer answer) {
-		this.answers.put(call, answer);
+	void register(long call, CallerResponse response) {
+		this.responses.put(call, response);
 	}
 
-	void callerLeft(long call) {
-		if (this.answers.remove(call) != null) {
+	void onCallerDisconnected(long call) {
+		if (this.responses.remove(call) != null) {
 			this.coordinator.onCallerLeft(call);
 		}
 	}
 
-	void inForce(FleetConfiguration configuration) {
+	void applyConfiguration(FleetConfiguration configuration) {
 		this.selector.use(configuration);
 		this.coordinator.use(configuration);
 		Map<String, InetSocketAddress> addresses = new HashMap<>();
 		configuration.targets().forEach((t) -> addresses.put(t.name(), new InetSocketAddress(t.host(), t.port())));
 		this.board.retain(addresses.keySet());
-		Set<String> steady = this.selector.usedTargets()
+		Set<String> permanentLinks = this.selector.usedTargets()
 			.stream()
 			.map(TargetDescription::name)
 			.collect(Collectors.toSet());
-		this.links.use(addresses, steady);
+		this.links.use(addresses, permanentLinks);
 		this.exchange.announce(MonotonicClock.millis());
 	}
 
@@ -121,33 +121,33 @@
 
 	@Override
 	public void accepted(long call, StreamPosition position, String route) {
-		CallerAnswer answer = this.answers.get(call);
-		if (answer != null) {
-			answer.accepted(position, route);
+		CallerResponse response = this.responses.get(call);
+		if (response != null) {
+			response.accepted(position, route);
 		}
 	}
 
 	@Override
 	public void deliver(long call, long offset, byte[] data) {
-		CallerAnswer answer = this.answers.get(call);
-		if (answer != null) {
-			answer.deliver(offset, data);
+		CallerResponse response = this.responses.get(call);
+		if (response != null) {
+			response.deliver(offset, data);
 		}
 	}
 
 	@Override
 	public void finish(long call, long total, FinishReason reason) {
-		CallerAnswer answer = this.answers.remove(call);
-		if (answer != null) {
-			answer.finish(total, reason);
+		CallerResponse response = this.responses.remove(call);
+		if (response != null) {
+			response.finish(total, reason);
 		}
 	}
 
 	@Override
 	public void refuse(long call, Refusal refusal) {
-		CallerAnswer answer = this.answers.remove(call);
-		if (answer != null) {
-			answer.refuse(refusal);
+		CallerResponse response = this.responses.remove(call);
+		if (response != null) {
+			response.refuse(refusal);
 		}
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryStatus.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryStatus.java
@@ -5,35 +5,35 @@
 import dev.laneworks.core.message.LoadReport;
 
 /**
- * What an entry believes, for operators.
+ * Status document of an entry for operators.
  *
  * @param instance the entry's name
- * @param dataCentre its data centre
- * @param configurationVersion the version in force, or 0
- * @param configurationDigest the SHA-256 of the document in force
- * @param confirmedAgeMillis how long ago the service was heard to hold it, or -1 for
- * never
- * @param lastRefusal the fault of the last document refused, or empty text
- * @param serviceCalls the calls made to the configuration service
- * @param openCalls the calls under way
- * @param targets what it believes of the targets it uses
+ * @param dataCentre the entry's data centre
+ * @param configurationVersion the version of the current configuration, or 0 for none
+ * @param configurationDigest the SHA-256 of the current configuration document
+ * @param confirmedAgeMillis the time since the configuration service was last confirmed
+ * to hold this version, or -1 for never
+ * @param lastRefusal the error in the last rejected document, or an empty string
+ * @param serviceCalls the number of requests to the configuration service
+ * @param openCalls the number of open calls
+ * @param targets the recorded state of each target that the entry uses
  */
 record EntryStatus(String instance, String dataCentre, long configurationVersion, String configurationDigest,
-		long confirmedAgeMillis, String lastRefusal, long serviceCalls, int openCalls, List<TargetBelief> targets) {
+		long confirmedAgeMillis, String lastRefusal, long serviceCalls, int openCalls, List<TargetStatus> targets) {
 
 	/**
-	 * What an entry believes of one target.
+	 * Recorded state of one target.
 	 *
 	 * @param target the target's name
-	 * @param dataCentre its data centre
-	 * @param linked whether the link is up
-	 * @param leaving whether it takes no new work
-	 * @param setAside whether it is set aside after failures
-	 * @param inFlight this entry's requests under way there
-	 * @param reportAgeMillis how old its load report is
-	 * @param load its load report
+	 * @param dataCentre the target's data centre
+	 * @param linked whether the link to its sidecar is up
+	 * @param leaving whether the target is draining
+	 * @param setAside whether the target is ejected after failures
+	 * @param inFlight the number of this entry's requests in flight at the target
+	 * @param reportAgeMillis the age of the load report
+	 * @param load the target's latest load report
 	 */
-	record TargetBelief(String target, String dataCentre, boolean linked, boolean leaving, boolean setAside,
+	record TargetStatus(String target, String dataCentre, boolean linked, boolean leaving, boolean setAside,
 			int inFlight, long reportAgeMillis, LoadReport load) {
 
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/SidecarLinks.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/SidecarLinkListener.java
@@ -13,16 +13,16 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Passes what links to sidecars bring on to the deciding duty, holding a link up while
- * the duty's ring is full.
+ * Forwards events of the links to sidecars to the duty. Blocks a link's thread while the
+ * ring of the duty is full, which applies back-pressure to the link.
  */
-final class SidecarLinks implements TargetLinkListener {
+final class SidecarLinkListener implements TargetLinkListener {
 
 	private final Consumer<Consumer<EntryState>> duty;
 
-	private final DutyCalls calls;
+	private final DutyCallPort calls;
 
-	SidecarLinks(Consumer<Consumer<EntryState>> duty, DutyCalls calls) {
+	SidecarLinkListener(Consumer<Consumer<EntryState>> duty, DutyCallPort calls) {
 		this.duty = duty;
 		this.calls = calls;
 	}
@@ -31,7 +31,7 @@
 	public void onUp(String target, Link link) {
 		if (!isSeed(target)) {
 			long incarnation = link.peer().incarnation();
-			this.calls.linkUp(target, incarnation);
+			this.calls.onLinkUp(target, incarnation);
 			this.duty.accept((s) -> s.coordinator().onLinkUp(target, incarnation, MonotonicClock.millis()));
 		}
 	}
@@ -52,7 +52,7 @@
 	@Override
 	public void onDown(String target) {
 		if (!isSeed(target)) {
-			this.calls.linkDown(target);
+			this.calls.onLinkDown(target);
 			this.duty.accept((s) -> s.coordinator().onLinkDown(target, MonotonicClock.millis()));
 		}
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/WholeAnswer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/BufferedResponse.java
@@ -11,9 +11,9 @@
 import io.undertow.util.Headers;
 
 /**
- * Gathers output and answers a caller that wants it in one piece.
+ * Response that buffers the output and sends it as one JSON document.
  */
-final class WholeAnswer implements CallerAnswer {
+final class BufferedResponse implements CallerResponse {
 
 	private final HttpServerExchange exchange;
 
@@ -23,29 +23,29 @@
 
 	private final CallTimes.Stopwatch stopwatch;
 
-	private final Consumer<Long> taken;
+	private final Consumer<Long> onConsumed;
 
 	private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
-	WholeAnswer(HttpServerExchange exchange, CompletionJson json, int promptTokens, CallTimes.Stopwatch stopwatch,
-			Consumer<Long> taken) {
+	BufferedResponse(HttpServerExchange exchange, CompletionJson json, int promptTokens, CallTimes.Stopwatch stopwatch,
+			Consumer<Long> onConsumed) {
 		this.exchange = exchange;
 		this.json = json;
 		this.promptTokens = promptTokens;
 		this.stopwatch = stopwatch;
-		this.taken = taken;
+		this.onConsumed = onConsumed;
 	}
 
 	@Override
 	public void accepted(StreamPosition position, String route) {
-		AnswerHeaders.put(this.exchange, position, route);
+		ResponseHeaders.put(this.exchange, position, route);
 	}
 
 	@Override
 	public void deliver(long offset, byte[] data) {
 		this.stopwatch.token();
 		this.output.writeBytes(data);
-		this.taken.accept(offset + 1);
+		this.onConsumed.accept(offset + 1);
 	}
 
 	@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallPort.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallPort.java
@@ -8,64 +8,64 @@
 import dev.laneworks.core.stream.StreamPosition;
 
 /**
- * What callers' HTTP interface asks of the deciding duty.
+ * Interface of the callers' HTTP server to the duty that routes calls.
  * <p>
- * Thread-safe; no method waits.
+ * Thread-safe; no method blocks.
  *
  * @since 0.1
  */
 public interface CallPort {
 
 	/**
-	 * Return the configuration in force.
-	 * @return the configuration, or empty before the first
+	 * Return the current configuration.
+	 * @return the configuration, or empty until the first one is loaded
 	 */
 	Optional<FleetConfiguration> configuration();
 
 	/**
-	 * Return a number for a call.
-	 * @return a number never used before
+	 * Allocate a call number.
+	 * @return a number that is unique within this process
 	 */
-	long nextCall();
+	long nextCallNumber();
 
 	/**
 	 * Open a call.
-	 * @param call the call's number
-	 * @param request the request
-	 * @param answer the answer to its caller
-	 * @return {@code false} if the entry can take no more
+	 * @param call a number from {@link #nextCallNumber()}
+	 * @param request the caller's request
+	 * @param response receives the output
+	 * @return {@code false} if the entry has reached its limit of open calls
 	 */
-	boolean open(long call, CallRequest request, CallerAnswer answer);
+	boolean open(long call, CallRequest request, CallerResponse response);
 
 	/**
-	 * Open a call that goes on with a generation.
-	 * @param call the call's number
-	 * @param request the request as far as it is known
-	 * @param position where to go on
-	 * @param answer the answer to its caller
-	 * @return {@code false} if the entry can take no more
+	 * Open a call that resumes reading a generation.
+	 * @param call a number from {@link #nextCallNumber()}
+	 * @param request the request, of which only the client account is set
+	 * @param position the position of the first output to send
+	 * @param response receives the output
+	 * @return {@code false} if the entry has reached its limit of open calls
 	 */
-	boolean resume(long call, CallRequest request, StreamPosition position, CallerAnswer answer);
+	boolean resume(long call, CallRequest request, StreamPosition position, CallerResponse response);
 
 	/**
-	 * Say that the caller has taken output.
-	 * @param call the call's number
-	 * @param offset the first offset that it has not taken
+	 * Record that the caller has consumed output.
+	 * @param call the call number
+	 * @param offset the first offset that is not yet consumed
 	 */
-	void read(long call, long offset);
+	void recordConsumed(long call, long offset);
 
 	/**
-	 * Say that the caller left.
-	 * @param call the call's number
+	 * Handle the disconnection of a caller.
+	 * @param call the call number
 	 */
-	void left(long call);
+	void onCallerDisconnected(long call);
 
 	/**
-	 * Make a ticket for a request that must not be repeated.
+	 * Create a ticket for a request that must run at most once.
 	 * @param account the client account
 	 * @param model the model or service
-	 * @return the ticket, or empty if no home can be named now
+	 * @return the ticket, or empty if no target is available as its home
 	 */
-	Optional<OnceTicket> ticket(String account, String model);
+	Optional<OnceTicket> createTicket(String account, String model);
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallTimes.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallTimes.java
@@ -6,42 +6,42 @@
 import com.codahale.metrics.MetricRegistry;
 
 /**
- * Measures what readers experience: time to the first token, time between tokens, and
+ * Latency histograms of callers' streams: time to first token, time between tokens and
  * stall time.
  *
  * @since 0.1
  */
 public final class CallTimes {
 
-	/** A gap longer than this counts as a stall. */
+	/** A longer gap between tokens counts as a stall. */
 	private static final long STALL_MICROS = 250_000;
 
 	private final Histogram firstToken;
 
 	private final Histogram betweenTokens;
 
-	private final Histogram stall;
+	private final Histogram stallTime;
 
 	/**
-	 * Create the histograms, in microseconds.
-	 * @param metrics the process's metrics
+	 * Register the histograms, in microseconds.
+	 * @param metrics the registry of the process
 	 */
 	public CallTimes(MetricRegistry metrics) {
 		this.firstToken = metrics.histogram("laneworks_first_token_micros");
 		this.betweenTokens = metrics.histogram("laneworks_between_tokens_micros");
-		this.stall = metrics.histogram("laneworks_stall_micros");
+		this.stallTime = metrics.histogram("laneworks_stall_micros");
 	}
 
 	/**
 	 * Start to measure a call.
-	 * @return its stopwatch
+	 * @return a running stopwatch
 	 */
 	public Stopwatch start() {
 		return new Stopwatch();
 	}
 
 	/**
-	 * Measures one call. Used on one thread.
+	 * Measures one call. Not thread-safe.
 	 */
 	public final class Stopwatch {
 
@@ -49,17 +49,17 @@
 
 		private long stalledMicros;
 
-		private boolean first = true;
+		private boolean awaitingFirstToken = true;
 
 		/**
-		 * Record a piece of output.
+		 * Record the delivery of a chunk of output.
 		 */
 		public void token() {
 			long now = System.nanoTime();
 			long micros = TimeUnit.NANOSECONDS.toMicros(now - this.lastNanos);
 			this.lastNanos = now;
-			if (this.first) {
-				this.first = false;
+			if (this.awaitingFirstToken) {
+				this.awaitingFirstToken = false;
 				CallTimes.this.firstToken.update(micros);
 				return;
 			}
@@ -73,8 +73,8 @@
 		 * Record the end of the call.
 		 */
 		public void end() {
-			if (!this.first) {
-				CallTimes.this.stall.update(this.stalledMicros);
+			if (!this.awaitingFirstToken) {
+				CallTimes.this.stallTime.update(this.stalledMicros);
 			}
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerPresence.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerPresence.java
@@ -9,31 +9,30 @@
 import org.xnio.IoUtils;
 
 /**
- * Notices that a caller has closed its connection while no byte of its answer is on the
- * way.
+ * Detects that a caller has closed its connection before its response starts.
  * <p>
- * Undertow reads nothing from a connection between the end of a request and the start of
- * its response, and so does not hear of its closing. Here the connection is read from now
- * and then; bytes of a next request are given back.
+ * Undertow does not read from a connection between the end of a request and the start of
+ * its response and therefore does not detect its closing. This class polls the connection
+ * and returns the bytes of a pipelined request to it.
  */
 public final class CallerPresence {
 
-	private static final long GAP_MILLIS = 250;
+	private static final long POLL_INTERVAL_MILLIS = 250;
 
 	private final HttpServerExchange exchange;
 
-	private final Runnable left;
+	private final Runnable onDisconnect;
 
-	public CallerPresence(HttpServerExchange exchange, Runnable left) {
+	public CallerPresence(HttpServerExchange exchange, Runnable onDisconnect) {
 		this.exchange = exchange;
-		this.left = left;
+		this.onDisconnect = onDisconnect;
 	}
 
 	public void watch() {
-		this.exchange.getIoThread().executeAfter(this::look, GAP_MILLIS, TimeUnit.MILLISECONDS);
+		this.exchange.getIoThread().executeAfter(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	private void look() {
+	private void poll() {
 		if (this.exchange.isComplete() || this.exchange.isResponseStarted()
 				|| !(this.exchange.getConnection() instanceof HttpServerConnection connection)) {
 			return;
@@ -47,7 +46,7 @@
 		}
 		pooled.close();
 		if (count < 0) {
-			this.left.run();
+			this.onDisconnect.run();
 			IoUtils.safeClose(connection);
 			return;
 		}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerProblem.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerProblem.java
@@ -9,8 +9,8 @@
 import io.undertow.util.Headers;
 
 /**
- * Writes refusals as problem documents (RFC 9457) with a verdict and, where coming back
- * helps, when.
+ * Writes refusals as problem documents (RFC 9457) that carry the verdict and, if a retry
+ * is useful, the time to wait before it.
  */
 public final class CallerProblem {
 
@@ -24,9 +24,10 @@
 	}
 
 	/**
-	 * Answer with a refusal; headers that were put before stay.
-	 * @param exchange the exchange
-	 * @param refusal the refusal
+	 * Send a refusal as the response. Headers that are already set are kept; if the
+	 * response has already started, the exchange is only ended.
+	 * @param exchange the exchange of the refused request
+	 * @param refusal the reason and the verdict for the caller
 	 */
 	public static void send(HttpServerExchange exchange, Refusal refusal) {
 		if (exchange.isResponseStarted()) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -32,14 +32,19 @@
 import org.xnio.Options;
 
 /**
- * Serves callers over HTTP.
- * <p>
- * {@code POST /v1/completions} and {@code /v1/chat/completions}, streamed or whole;
- * {@code GET /v1/streams} with {@code Last-Event-ID} goes on with a stream;
- * {@code POST /v1/tickets} makes a ticket for a request that must not be repeated;
- * {@code GET /v1/models}; {@code /services/NAME/…}; {@code /livez} and {@code /readyz}. A
- * request with {@code Last-Event-ID} goes on with its stream whatever its path, as
- * clients of server-sent events send it again.
+ * HTTP server for callers.
+ * <ul>
+ * <li>{@code POST /v1/completions} and {@code POST /v1/chat/completions} generate output,
+ * streamed or whole.</li>
+ * <li>{@code GET /v1/streams} with {@code Last-Event-ID} resumes a stream.</li>
+ * <li>{@code POST /v1/tickets} creates a ticket for a request that must run at most
+ * once.</li>
+ * <li>{@code GET /v1/models} lists the models of the account.</li>
+ * <li>{@code /services/NAME/…} calls a plain service.</li>
+ * <li>{@code /livez} and {@code /readyz} are the health checks.</li>
+ * </ul>
+ * A generation request with {@code Last-Event-ID} resumes its stream too, since clients
+ * of server-sent events reconnect with the original request.
  *
  * @since 0.1
  */
@@ -47,9 +52,9 @@
 
 	private static final HttpString LAST_EVENT_ID = new HttpString("Last-Event-ID");
 
-	private static final Duration FULL_RETRY = Duration.ofSeconds(1);
+	private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
-	private static final String SERVICES = "/services/";
+	private static final String SERVICES_PREFIX = "/services/";
 
 	private final CallerSettings settings;
 
@@ -63,18 +68,18 @@
 
 	private final RequestReader reader;
 
-	private final AtomicInteger openAnswers = new AtomicInteger();
+	private final AtomicInteger openResponses = new AtomicInteger();
 
 	private final Undertow server;
 
 	/**
-	 * Create a server.
+	 * Create a server that {@link #start()} starts.
 	 * @param io the I/O threads
-	 * @param settings bounds of connections and requests
-	 * @param calls where calls go
-	 * @param secret the secret that all entries share
-	 * @param times measures what readers experience
-	 * @param ready whether the balancer should send callers here
+	 * @param settings the limits of connections and requests
+	 * @param calls routes the calls
+	 * @param secret the key shared by all entries that seals tickets and stream positions
+	 * @param times the latency histograms
+	 * @param ready whether the readiness check succeeds
 	 */
 	public CallerServer(IoWorker io, CallerSettings settings, CallPort calls, byte[] secret, CallTimes times,
 			BooleanSupplier ready) {
@@ -98,37 +103,37 @@
 	}
 
 	/**
-	 * Start to listen.
+	 * Start to accept connections.
 	 */
 	public void start() {
 		this.server.start();
 	}
 
 	/**
-	 * End listening.
+	 * Close the listener and all connections.
 	 */
 	public void stop() {
 		this.server.stop();
 	}
 
 	/**
-	 * Return how many answers are not written to their end.
-	 * @return the count
+	 * Return the number of responses that are not yet completely written.
+	 * @return the number of open responses
 	 */
-	public int openAnswers() {
-		return this.openAnswers.get();
+	public int openResponses() {
+		return this.openResponses.get();
 	}
 
 	private HttpHandler routes() {
 		return Handlers.path()
 			.addExactPath("/livez", (e) -> e.getResponseSender().send("live\n"))
 			.addExactPath("/readyz", this::readyz)
-			.addExactPath("/v1/completions", only("POST", (e) -> generation(e, WorkKind.COMPLETION)))
-			.addExactPath("/v1/chat/completions", only("POST", (e) -> generation(e, WorkKind.CHAT)))
-			.addExactPath("/v1/streams", only("GET", this::comeBack))
-			.addExactPath("/v1/tickets", only("POST", this::ticket))
-			.addExactPath("/v1/models", only("GET", this::models))
-			.addPrefixPath(SERVICES, this::service)
+			.addExactPath("/v1/completions", allowOnly("POST", (e) -> generation(e, WorkKind.COMPLETION)))
+			.addExactPath("/v1/chat/completions", allowOnly("POST", (e) -> generation(e, WorkKind.CHAT)))
+			.addExactPath("/v1/streams", allowOnly("GET", this::resumeStream))
+			.addExactPath("/v1/tickets", allowOnly("POST", this::ticket))
+			.addExactPath("/v1/models", allowOnly("GET", this::models))
+			.addPrefixPath(SERVICES_PREFIX, this::service)
 			.addPrefixPath("/", (e) -> CallerProblem.send(e, notFound()));
 	}
 
@@ -140,7 +145,7 @@
 
 	private void generation(HttpServerExchange exchange, WorkKind kind) {
 		if (exchange.getRequestHeaders().contains(LAST_EVENT_ID)) {
-			comeBack(exchange);
+			resumeStream(exchange);
 			return;
 		}
 		withAccount(exchange, (c, a) -> withBody(exchange, (body) -> {
@@ -156,68 +161,70 @@
 	private void open(HttpServerExchange exchange, RequestReader.GenerationRequest generation) {
 		CallRequest request = generation.request();
 		String id = request.work().requestId();
-		exchange.getResponseHeaders().put(AnswerHeaders.REQUEST, id);
+		exchange.getResponseHeaders().put(ResponseHeaders.REQUEST, id);
 		CompletionJson json = new CompletionJson(request.work().kind(), id, request.work().model(),
 				System.currentTimeMillis() / 1000);
-		long call = this.calls.nextCall();
-		CallerAnswer answer = generation.stream() ? streamed(exchange, json, call) : new WholeAnswer(exchange, json,
-				request.work().promptTokens(), this.times.start(), (o) -> this.calls.read(call, o));
-		watch(exchange, call);
-		answerIfFull(exchange, this.calls.open(call, request, answer));
+		long call = this.calls.nextCallNumber();
+		CallerResponse response = generation.stream() ? createStreamedResponse(exchange, json, call)
+				: new BufferedResponse(exchange, json, request.work().promptTokens(), this.times.start(),
+						(o) -> this.calls.recordConsumed(call, o));
+		trackResponse(exchange, call);
+		rejectIfFull(exchange, this.calls.open(call, request, response));
 	}
 
-	private void comeBack(HttpServerExchange exchange) {
+	private void resumeStream(HttpServerExchange exchange) {
 		withAccount(exchange, (c, a) -> {
 			String id = exchange.getRequestHeaders().getFirst(LAST_EVENT_ID);
 			Optional<StreamPosition> position = (id != null) ? new TokenSealer(this.secret).openPosition(id)
 					: Optional.empty();
 			if (position.isEmpty() || !position.get().account().equals(a.name())) {
 				CallerProblem.send(exchange, Refusal.never(RefusalReason.BAD_REQUEST,
-						"the Last-Event-ID header must be the identity of an event that this account received"));
+						"the Last-Event-ID header must be the id of an event that this account received"));
 				return;
 			}
-			CallRequest request = RequestReader.returning(a.name());
+			CallRequest request = RequestReader.resumedRequest(a.name());
 			WorkKind kind = exchange.getRequestPath().contains("chat") ? WorkKind.CHAT : WorkKind.COMPLETION;
 			CompletionJson json = new CompletionJson(kind, position.get().generation(), "",
 					System.currentTimeMillis() / 1000);
-			long call = this.calls.nextCall();
-			watch(exchange, call);
+			long call = this.calls.nextCallNumber();
+			trackResponse(exchange, call);
 			exchange.dispatch();
-			answerIfFull(exchange, this.calls.resume(call, request, position.get(), streamed(exchange, json, call)));
+			rejectIfFull(exchange,
+					this.calls.resume(call, request, position.get(), createStreamedResponse(exchange, json, call)));
 		});
 	}
 
 	private void service(HttpServerExchange exchange) {
-		String below = exchange.getRelativePath();
-		String trimmed = below.startsWith("/") ? below.substring(1) : below;
-		int slash = trimmed.indexOf('/');
-		String name = (slash >= 0) ? trimmed.substring(0, slash) : trimmed;
-		String path = (slash >= 0) ? trimmed.substring(slash) : "/";
+		String relativePath = exchange.getRelativePath();
+		String nameAndPath = relativePath.startsWith("/") ? relativePath.substring(1) : relativePath;
+		int slash = nameAndPath.indexOf('/');
+		String name = (slash >= 0) ? nameAndPath.substring(0, slash) : nameAndPath;
+		String path = (slash >= 0) ? nameAndPath.substring(slash) : "/";
 		withAccount(exchange, (c, a) -> withBody(exchange, (body) -> {
 			Either<Refusal, CallRequest> request = this.reader.service(exchange, body, name, path, a, c);
 			if (request.isLeft()) {
 				CallerProblem.send(exchange, request.getLeft());
 				return;
 			}
-			exchange.getResponseHeaders().put(AnswerHeaders.REQUEST, request.get().work().requestId());
-			long call = this.calls.nextCall();
-			watch(exchange, call);
-			answerIfFull(exchange, this.calls.open(call, request.get(), new ServiceAnswer(exchange)));
+			exchange.getResponseHeaders().put(ResponseHeaders.REQUEST, request.get().work().requestId());
+			long call = this.calls.nextCallNumber();
+			trackResponse(exchange, call);
+			rejectIfFull(exchange, this.calls.open(call, request.get(), new ServiceResponse(exchange)));
 		}));
 	}
 
 	private void ticket(HttpServerExchange exchange) {
 		withAccount(exchange, (c, a) -> withBody(exchange, (body) -> {
-			String model = modelOf(body);
+			String model = readModel(body);
 			if (c.intent(a.name(), model).isEmpty()) {
 				CallerProblem.send(exchange, Refusal.never(RefusalReason.UNKNOWN_MODEL,
-						"the account may use no model or service named '" + model + "'"));
+						"the account has no access to a model or service named '" + model + "'"));
 				return;
 			}
-			Optional<OnceTicket> ticket = this.calls.ticket(a.name(), model);
+			Optional<OnceTicket> ticket = this.calls.createTicket(a.name(), model);
 			if (ticket.isEmpty()) {
-				CallerProblem.send(exchange,
-						Refusal.notRun(RefusalReason.NO_TARGET, "no home can be named now", FULL_RETRY));
+				CallerProblem.send(exchange, Refusal.notRun(RefusalReason.NO_TARGET,
+						"no target is available as the home of a ticket", RETRY_DELAY));
 				return;
 			}
 			exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
@@ -241,39 +248,40 @@
 		});
 	}
 
-	private StreamedAnswer streamed(HttpServerExchange exchange, CompletionJson json, long call) {
-		return new StreamedAnswer(exchange, json, new TokenSealer(this.secret), this.times.start(),
-				this.settings.stalledTimeout(), (o) -> this.calls.read(call, o), () -> this.calls.left(call));
+	private StreamedResponse createStreamedResponse(HttpServerExchange exchange, CompletionJson json, long call) {
+		return new StreamedResponse(exchange, json, new TokenSealer(this.secret), this.times.start(),
+				this.settings.stalledTimeout(), (o) -> this.calls.recordConsumed(call, o),
+				() -> this.calls.onCallerDisconnected(call));
 	}
 
-	private void watch(HttpServerExchange exchange, long call) {
-		new CallerPresence(exchange, () -> this.calls.left(call)).watch();
+	private void trackResponse(HttpServerExchange exchange, long call) {
+		new CallerPresence(exchange, () -> this.calls.onCallerDisconnected(call)).watch();
 		AtomicBoolean open = new AtomicBoolean(true);
-		this.openAnswers.incrementAndGet();
+		this.openResponses.incrementAndGet();
 		exchange.addExchangeCompleteListener((e, next) -> {
-			closed(open);
+			onResponseClosed(open);
 			next.proceed();
 		});
 		exchange.getConnection().addCloseListener((c) -> {
-			closed(open);
+			onResponseClosed(open);
 			if (!exchange.isComplete()) {
-				this.calls.left(call);
+				this.calls.onCallerDisconnected(call);
 			}
 		});
 	}
 
-	// An answer is over when its last byte is written or its connection is closed,
-	// whichever comes first.
-	private void closed(AtomicBoolean open) {
+	// Called after the last byte is written and when the connection closes; only the
+	// first call counts.
+	private void onResponseClosed(AtomicBoolean open) {
 		if (open.compareAndSet(true, false)) {
-			this.openAnswers.decrementAndGet();
+			this.openResponses.decrementAndGet();
 		}
 	}
 
-	private static void answerIfFull(HttpServerExchange exchange, boolean taken) {
-		if (!taken) {
-			CallerProblem.send(exchange,
-					Refusal.notRun(RefusalReason.OVERLOADED, "this entry can take no more calls", FULL_RETRY));
+	private static void rejectIfFull(HttpServerExchange exchange, boolean accepted) {
+		if (!accepted) {
+			CallerProblem.send(exchange, Refusal.notRun(RefusalReason.OVERLOADED,
+					"this entry has reached its limit of open calls", RETRY_DELAY));
 		}
 	}
 
@@ -281,7 +289,7 @@
 		Optional<FleetConfiguration> configuration = this.calls.configuration();
 		if (configuration.isEmpty()) {
 			CallerProblem.send(exchange,
-					Refusal.notRun(RefusalReason.NOT_READY, "this entry has no configuration yet", FULL_RETRY));
+					Refusal.notRun(RefusalReason.NOT_READY, "this entry has no configuration yet", RETRY_DELAY));
 			return;
 		}
 		Either<Refusal, AccountDescription> account = this.reader.account(exchange, configuration.get());
@@ -309,10 +317,10 @@
 			e.dispatch();
 			action.accept(body);
 		}, (e, ex) -> CallerProblem.send(e, (ex instanceof RequestTooBigException) ? tooLarge()
-				: Refusal.never(RefusalReason.BAD_REQUEST, "the body can't be read: " + ex.getMessage())));
+				: Refusal.never(RefusalReason.BAD_REQUEST, "the body cannot be read: " + ex.getMessage())));
 	}
 
-	private static HttpHandler only(String method, HttpHandler handler) {
+	private static HttpHandler allowOnly(String method, HttpHandler handler) {
 		return (e) -> {
 			if (e.getRequestMethod().equalToString(method)) {
 				handler.handleRequest(e);
@@ -321,13 +329,13 @@
 			e.getResponseHeaders().put(Headers.ALLOW, method);
 			e.setStatusCode(StatusCodes.METHOD_NOT_ALLOWED);
 			e.getResponseHeaders().put(Headers.CONTENT_TYPE, CallerProblem.CONTENT_TYPE);
-			Refusal refusal = Refusal.never(RefusalReason.BAD_REQUEST, "only " + method + " is served here");
+			Refusal refusal = Refusal.never(RefusalReason.BAD_REQUEST, "only " + method + " is allowed here");
 			e.getResponseSender()
 				.send(CallerProblem.json(refusal).put("status", StatusCodes.METHOD_NOT_ALLOWED).toString());
 		};
 	}
 
-	private static String modelOf(byte[] body) {
+	private static String readModel(byte[] body) {
 		try {
 			return JsonText.read(body).path("model").asText("");
 		}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CompletionJson.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CompletionJson.java
@@ -9,13 +9,13 @@
 import dev.laneworks.runtime.http.JsonText;
 
 /**
- * Writes output in the form that OpenAI's interface has.
+ * Writes output in the JSON format of the OpenAI completions API.
  */
 final class CompletionJson {
 
 	private final WorkKind kind;
 
-	private final String head;
+	private final String chunkPrefix;
 
 	private final String id;
 
@@ -30,11 +30,11 @@
 		this.createdSeconds = createdSeconds;
 		ObjectNode json = base(true);
 		String text = json.toString();
-		this.head = text.substring(0, text.length() - 1) + ",\"choices\":[{\"index\":0,";
+		this.chunkPrefix = text.substring(0, text.length() - 1) + ",\"choices\":[{\"index\":0,";
 	}
 
 	String chunk(long offset, byte[] data) {
-		StringBuilder json = new StringBuilder(this.head.length() + data.length + 64).append(this.head);
+		StringBuilder json = new StringBuilder(this.chunkPrefix.length() + data.length + 64).append(this.chunkPrefix);
 		json.append((this.kind != WorkKind.CHAT) ? "\"text\":\""
 				: ((offset != 0) ? "\"delta\":{\"content\":\"" : "\"delta\":{\"role\":\"assistant\",\"content\":\""));
 		JsonStringEncoder.getInstance().quoteAsString(new String(data, StandardCharsets.UTF_8), json);
@@ -42,12 +42,12 @@
 		return json.toString();
 	}
 
-	// The last event carries the count of tokens, so that a short answer can't pass for a
-	// whole one.
+	// The last event carries the token count, so that a caller can detect a truncated
+	// response.
 	String last(long total, FinishReason reason) {
-		String empty = (this.kind != WorkKind.CHAT) ? "\"text\":\"\"" : "\"delta\":{}";
-		return this.head + empty + ",\"finish_reason\":\"" + reason.label() + "\"}],\"usage\":{\"completion_tokens\":"
-				+ total + "}}";
+		String emptyOutput = (this.kind != WorkKind.CHAT) ? "\"text\":\"\"" : "\"delta\":{}";
+		return this.chunkPrefix + emptyOutput + ",\"finish_reason\":\"" + reason.label()
+				+ "\"}],\"usage\":{\"completion_tokens\":" + total + "}}";
 	}
 
 	String whole(String output, long total, int promptTokens, FinishReason reason) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -34,13 +34,12 @@
 import io.vavr.control.Either;
 
 /**
- * Turns callers' HTTP requests into requests of the system, or says what is wrong with
- * them.
+ * Parses and validates callers' HTTP requests.
  * <p>
- * {@code Authorization: Bearer KEY} names the account. {@code Idempotency-Key} names a
- * request that must run at most once; its value is the caller's own key or a ticket.
- * {@code Laneworks-Patience} says in milliseconds how long the caller waits for its first
- * token.
+ * The header {@code Authorization: Bearer KEY} identifies the client account. The header
+ * {@code Idempotency-Key} marks a request that must run at most once; its value is a key
+ * of the caller's choice or a ticket. The header {@code Laneworks-Patience} is the
+ * timeout for the first token in milliseconds.
  */
 final class RequestReader {
 
@@ -56,7 +55,7 @@
 
 	private static final int DEFAULT_MAX_TOKENS = 65_536;
 
-	private static final int MAX_MAX_TOKENS = 1_000_000;
+	private static final int MAX_TOKENS_LIMIT = 1_000_000;
 
 	private static final int MAX_KEY_LENGTH = 512;
 
@@ -72,12 +71,12 @@
 	}
 
 	Either<Refusal, AccountDescription> account(HttpServerExchange exchange, FleetConfiguration configuration) {
-		String given = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
-		if (given == null || !given.startsWith(BEARER)) {
+		String headerValue = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
+		if (headerValue == null || !headerValue.startsWith(BEARER)) {
 			return Either.left(Refusal.never(RefusalReason.UNKNOWN_ACCOUNT,
 					"the Authorization header must be 'Bearer' and an API key"));
 		}
-		return configuration.accountByDigest(digest(given.substring(BEARER.length()).strip()))
+		return configuration.accountByDigest(digest(headerValue.substring(BEARER.length()).strip()))
 			.<Either<Refusal, AccountDescription>>map(Either::right)
 			.orElseGet(() -> Either.left(Refusal.never(RefusalReason.UNKNOWN_ACCOUNT, "the API key is not known")));
 	}
@@ -89,36 +88,36 @@
 			json = JsonText.read(body);
 		}
 		catch (IOException ex) {
-			return bad("the body is not JSON");
+			return badRequest("the body is not JSON");
 		}
 		if (!(json instanceof ObjectNode object)) {
-			return bad("the body must be a JSON object");
+			return badRequest("the body must be a JSON object");
 		}
 		String model = object.path("model").asText("");
 		if (model.isEmpty()) {
-			return bad("the member 'model' is missing");
+			return badRequest("the member 'model' is missing");
 		}
 		String input = (kind == WorkKind.CHAT) ? "messages" : "prompt";
 		if (!object.has(input)) {
-			return bad("the member '" + input + "' is missing");
+			return badRequest("the member '" + input + "' is missing");
 		}
 		int maxTokens = object.path("max_tokens").asInt(DEFAULT_MAX_TOKENS);
-		if (maxTokens < 1 || maxTokens > MAX_MAX_TOKENS) {
-			return bad("the member 'max_tokens' must be from 1 to " + MAX_MAX_TOKENS);
+		if (maxTokens < 1 || maxTokens > MAX_TOKENS_LIMIT) {
+			return badRequest("the member 'max_tokens' must be from 1 to " + MAX_TOKENS_LIMIT);
 		}
 		Optional<Intent> intent = configuration.intent(account.name(), model);
 		if (intent.isEmpty() || configuration.service(model).isPresent()) {
-			return Either
-				.left(Refusal.never(RefusalReason.UNKNOWN_MODEL, "the account may use no model named '" + model + "'"));
+			return Either.left(Refusal.never(RefusalReason.UNKNOWN_MODEL,
+					"the account has no access to a model named '" + model + "'"));
 		}
 		boolean stream = object.path("stream").asBoolean(false);
 		String prompt = (kind == WorkKind.CHAT) ? object.path(input).toString() : object.path(input).asText();
 		object.put("stream", true);
-		byte[] forTarget = object.toString().getBytes(StandardCharsets.UTF_8);
+		byte[] targetBody = object.toString().getBytes(StandardCharsets.UTF_8);
 		String path = (kind == WorkKind.CHAT) ? "/v1/chat/completions" : "/v1/completions";
-		return once(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
+		return readIdempotency(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
 			boolean repeatable = o.key().isEmpty() && intent.get().repeatable();
-			Work work = new Work(newRequestId(), kind, account.name(), model, "POST", path, forTarget,
+			Work work = new Work(createRequestId(), kind, account.name(), model, "POST", path, targetBody,
 					intent.get().priority(), repeatable, o.key(), Math.max(1, prompt.length() / CHARS_PER_TOKEN),
 					maxTokens, p);
 			CallRequest request = new CallRequest(work, intent.get(), prefixHash(prompt), o.ticketTarget(), stream);
@@ -131,65 +130,65 @@
 		Optional<ServiceDescription> service = configuration.service(name);
 		Optional<Intent> intent = configuration.intent(account.name(), name);
 		if (service.isEmpty() || intent.isEmpty()) {
-			return Either.left(
-					Refusal.never(RefusalReason.UNKNOWN_MODEL, "the account may use no service named '" + name + "'"));
+			return Either.left(Refusal.never(RefusalReason.UNKNOWN_MODEL,
+					"the account has no access to a service named '" + name + "'"));
 		}
 		String method = exchange.getRequestMethod().toString();
 		String query = exchange.getQueryString().isEmpty() ? "" : '?' + exchange.getQueryString();
-		return once(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
+		return readIdempotency(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
 			boolean repeatable = o.key().isEmpty() && service.get().isRepeatable(method, path);
-			Work work = new Work(newRequestId(), WorkKind.SERVICE, account.name(), name, method, path + query, body,
+			Work work = new Work(createRequestId(), WorkKind.SERVICE, account.name(), name, method, path + query, body,
 					intent.get().priority(), repeatable, o.key(), 0, 1, p);
 			return new CallRequest(work, intent.get(), 0, o.ticketTarget(), false);
 		}));
 	}
 
-	static CallRequest returning(String account) {
-		Work work = new Work(newRequestId(), WorkKind.COMPLETION, account, "", "", "", new byte[0], 0, false,
+	static CallRequest resumedRequest(String account) {
+		Work work = new Work(createRequestId(), WorkKind.COMPLETION, account, "", "", "", new byte[0], 0, false,
 				Optional.empty(), 0, 1, 0);
 		Intent intent = new Intent(account, "", "", "", 0, List.of(), SpillRule.NONE, false);
 		return new CallRequest(work, intent, 0, Optional.empty(), true);
 	}
 
-	private Either<Refusal, Once> once(HttpServerExchange exchange, AccountDescription account) {
+	private Either<Refusal, Idempotency> readIdempotency(HttpServerExchange exchange, AccountDescription account) {
 		HeaderMap headers = exchange.getRequestHeaders();
 		String key = headers.getFirst(IDEMPOTENCY_KEY);
 		if (key == null) {
-			return Either.right(new Once(Optional.empty(), Optional.empty()));
+			return Either.right(new Idempotency(Optional.empty(), Optional.empty()));
 		}
 		if (key.isBlank() || key.length() > MAX_KEY_LENGTH) {
-			return bad("the Idempotency-Key must have from 1 to " + MAX_KEY_LENGTH + " characters");
+			return badRequest("the Idempotency-Key must have from 1 to " + MAX_KEY_LENGTH + " characters");
 		}
 		Optional<OnceTicket> ticket = new TokenSealer(this.secret).openTicket(key);
 		if (ticket.isEmpty()) {
-			return Either
-				.right(new Once(Optional.of(new OnceKey(account.name(), key, OnceKey.NO_TICKET)), Optional.empty()));
+			return Either.right(new Idempotency(Optional.of(new OnceKey(account.name(), key, OnceKey.NO_TICKET)),
+					Optional.empty()));
 		}
 		if (!ticket.get().account().equals(account.name())) {
-			return bad("the ticket in the Idempotency-Key belongs to another account");
+			return badRequest("the ticket in the Idempotency-Key belongs to another account");
 		}
-		OnceKey named = new OnceKey(account.name(), ticket.get().identity(), ticket.get().incarnation());
-		return Either.right(new Once(Optional.of(named), Optional.of(ticket.get().target())));
+		OnceKey ticketKey = new OnceKey(account.name(), ticket.get().identity(), ticket.get().incarnation());
+		return Either.right(new Idempotency(Optional.of(ticketKey), Optional.of(ticket.get().target())));
 	}
 
 	private Either<Refusal, Long> patience(HttpServerExchange exchange) {
-		String given = exchange.getRequestHeaders().getFirst(PATIENCE);
-		if (given == null) {
+		String headerValue = exchange.getRequestHeaders().getFirst(PATIENCE);
+		if (headerValue == null) {
 			return Either.right(this.patience.toMillis());
 		}
 		try {
-			long millis = Long.parseLong(given.strip());
+			long millis = Long.parseLong(headerValue.strip());
 			if (millis >= 1 && millis <= MAX_PATIENCE_MILLIS) {
 				return Either.right(millis);
 			}
 		}
 		catch (NumberFormatException ex) {
-			// Answered below, as a number out of range is.
+			// Rejected below, like a number out of range.
 		}
-		return bad("the Laneworks-Patience header must be milliseconds from 1 to " + MAX_PATIENCE_MILLIS);
+		return badRequest("the Laneworks-Patience header must be milliseconds from 1 to " + MAX_PATIENCE_MILLIS);
 	}
 
-	private static <T> Either<Refusal, T> bad(String detail) {
+	private static <T> Either<Refusal, T> badRequest(String detail) {
 		return Either.left(Refusal.never(RefusalReason.BAD_REQUEST, detail));
 	}
 
@@ -197,7 +196,7 @@
 		return Rendezvous.hash(prompt.substring(0, Math.min(prompt.length(), PREFIX_CHARS)));
 	}
 
-	private static String newRequestId() {
+	private static String createRequestId() {
 		return UUID.randomUUID().toString();
 	}
 
@@ -212,16 +211,16 @@
 	}
 
 	/**
-	 * A request for a generation, and whether its caller wants a stream.
+	 * A parsed request for a generation.
 	 *
-	 * @param request the request
-	 * @param stream whether its caller wants a stream
+	 * @param request the request to route
+	 * @param stream whether the caller asked for a stream of events
 	 */
 	record GenerationRequest(CallRequest request, boolean stream) {
 
 	}
 
-	private record Once(Optional<OnceKey> key, Optional<String> ticketTarget) {
+	private record Idempotency(Optional<OnceKey> key, Optional<String> ticketTarget) {
 
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/AnswerHeaders.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/ResponseHeaders.java
@@ -5,9 +5,10 @@
 import io.undertow.util.HttpString;
 
 /**
- * The response headers that tell which request it was and where it ran.
+ * Response headers that identify the request, its generation and the target that executes
+ * it.
  */
-final class AnswerHeaders {
+final class ResponseHeaders {
 
 	static final HttpString REQUEST = new HttpString("Laneworks-Request");
 
@@ -17,7 +18,7 @@
 
 	private static final HttpString GENERATION = new HttpString("Laneworks-Generation");
 
-	private AnswerHeaders() {
+	private ResponseHeaders() {
 	}
 
 	static void put(HttpServerExchange exchange, StreamPosition position, String route) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/ServiceAnswer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/ServiceResponse.java
@@ -11,21 +11,21 @@
 import io.undertow.util.Headers;
 
 /**
- * Passes a plain service's answer on to its caller.
+ * Returns the reply of a plain service to its caller.
  */
-final class ServiceAnswer implements CallerAnswer {
+final class ServiceResponse implements CallerResponse {
 
 	private final HttpServerExchange exchange;
 
 	private ServiceReply reply;
 
-	ServiceAnswer(HttpServerExchange exchange) {
+	ServiceResponse(HttpServerExchange exchange) {
 		this.exchange = exchange;
 	}
 
 	@Override
 	public void accepted(StreamPosition position, String route) {
-		AnswerHeaders.put(this.exchange, position, route);
+		ResponseHeaders.put(this.exchange, position, route);
 	}
 
 	@Override
@@ -36,7 +36,8 @@
 	@Override
 	public void finish(long total, FinishReason reason) {
 		if (this.reply == null) {
-			CallerProblem.send(this.exchange, Refusal.ran(RefusalReason.TARGET_LOST, "the service gave no answer"));
+			CallerProblem.send(this.exchange,
+					Refusal.ran(RefusalReason.TARGET_LOST, "the service returned no response"));
 			return;
 		}
 		this.exchange.setStatusCode(this.reply.status());
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/package-info.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Callers' HTTP interface: requests in, streams and final answers out.
+ * HTTP interface for callers: request parsing, streamed responses and refusals.
  */
 package dev.laneworks.entry.caller;
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/explain/ExplainCommand.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/explain/ExplainCommand.java
@@ -18,7 +18,7 @@
 import joptsimple.OptionSpec;
 
 /**
- * Prints what happened to one request.
+ * Command that prints the logged events of one request.
  *
  * @since 0.2
  */
@@ -31,13 +31,13 @@
 
 	@Override
 	public String summary() {
-		return "--log FILE [--log FILE ...] ID  print what happened to a request, from the logs of any processes";
+		return "--log FILE [--log FILE ...] ID  print the events of a request from the logs of one or more processes";
 	}
 
 	@Override
 	public ExitCode run(List<String> arguments, PrintStream out, PrintStream err) {
 		OptionParser parser = new OptionParser();
-		OptionSpec<String> logs = parser.accepts("log", "a log; give it once for each process").withRequiredArg();
+		OptionSpec<String> logs = parser.accepts("log", "a log file; repeatable, one per process").withRequiredArg();
 		OptionSpec<String> ids = parser.nonOptions();
 		OptionSet options;
 		try {
@@ -48,7 +48,7 @@
 			return ExitCode.USAGE;
 		}
 		if (options.valuesOf(ids).size() != 1 || !options.has(logs)) {
-			err.println("laneworks-entry explain: at least one --log FILE and exactly one ID are needed");
+			err.println("laneworks-entry explain: at least one --log FILE and exactly one ID are required");
 			return ExitCode.USAGE;
 		}
 		return explain(options.valuesOf(logs), options.valuesOf(ids).get(0), out, err);
@@ -61,16 +61,16 @@
 				lines.map(LoggedEvent::parse).flatMap(Optional::stream).forEach(events::add);
 			}
 			catch (IOException | UncheckedIOException ex) {
-				err.println(file + ": can't be read: " + ex.getMessage());
+				err.println(file + ": cannot be read: " + ex.getMessage());
 				return ExitCode.USAGE;
 			}
 		}
-		RequestStory story = new RequestStory(events, id);
-		if (story.isEmpty()) {
-			err.println("no line of these logs names the request " + id);
+		RequestTimeline timeline = new RequestTimeline(events, id);
+		if (timeline.isEmpty()) {
+			err.println("the logs contain no event of request " + id);
 			return ExitCode.FAILED;
 		}
-		story.lines().forEach(out::println);
+		timeline.lines().forEach(out::println);
 		return ExitCode.OK;
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/explain/LoggedEvent.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/explain/LoggedEvent.java
@@ -8,21 +8,22 @@
 import dev.laneworks.runtime.http.JsonText;
 
 /**
- * One line of a log, as far as a request's story needs it.
+ * One parsed log line with the members that a {@link RequestTimeline} needs.
  *
- * @param time when it was written, by the clock of its instance
- * @param instance who wrote it
- * @param kind what it is about
- * @param subject the request, target or version that it concerns, or empty text
- * @param target the target, or empty text
- * @param cause why, with the inputs of the decision
+ * @param time the time of the event by the clock of its instance
+ * @param instance the instance that logged the event
+ * @param kind the audit kind, or the event name of any other line
+ * @param subject the request, target or version concerned, or an empty string
+ * @param target the target, or an empty string
+ * @param cause the reason with the inputs of the decision
  */
 record LoggedEvent(String time, String instance, String kind, String subject, String target, String cause) {
 
 	/**
-	 * Read a line, which may have something in front of its JSON object.
-	 * @param line the line
-	 * @return the event, or empty if the line is none
+	 * Parse a line; text before the JSON object, such as a prefix of a log collector, is
+	 * ignored.
+	 * @param line a line of a log file
+	 * @return the event, or empty if the line holds none
 	 */
 	static Optional<LoggedEvent> parse(String line) {
 		int start = line.indexOf('{');
@@ -42,8 +43,8 @@
 					json.path("subject").asText(), json.path("target").asText(), cause));
 		}
 		catch (IOException ex) {
-			// Other programs write to the same logs; what is no event is no part of a
-			// story.
+			// Other programs may write to the same log; lines that are not events are
+			// skipped.
 			return Optional.empty();
 		}
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/package-info.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The program that callers reach.
+ * Entry program, which serves callers over HTTP and routes their requests to targets.
  */
 package dev.laneworks.entry;
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/explain/ExplainCommandTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/explain/ExplainCommandTests.java
@@ -26,7 +26,7 @@
 	Path folder;
 
 	@Test
-	void tellsARequestsStoryInOrderWithWhatWasHeardOfItsTargets() throws IOException {
+	void printsEventsOfRequestAndItsTargetsInOrder() throws IOException {
 		Path one = log("one", line("10:00:02", "e1", "cut", "r1", "", "the connection broke"),
 				line("10:00:00", "e1", "accepted", "r1", "", "route r"),
 				line("10:00:00", "e1", "routed", "r1", "t1", "attempt 1"),
@@ -41,17 +41,17 @@
 	}
 
 	@Test
-	void saysWhatIsMissing() throws IOException {
+	void reportsGapsInTheLogs() throws IOException {
 		Path log = log("one", line("10:00:00", "e1", "routed", "r1", "t1", "attempt 1"),
 				"{\"time\":\"10:00:05\",\"instance\":\"e1\",\"event\":\"lines-dropped\",\"routine\":3,\"other\":1}");
 		run("--log", log.toString(), "r1");
-		assertThat(this.out.toString()).contains("no line tells that the request was accepted");
-		assertThat(this.out.toString()).contains("no line tells how it ended");
+		assertThat(this.out.toString()).contains("no event reports that the request was accepted");
+		assertThat(this.out.toString()).contains("no event reports how the request ended");
 		assertThat(this.out.toString()).contains("e1 dropped 3 routine and 1 other lines before 10:00:05");
 	}
 
 	@Test
-	void failsWithAClearMessage() throws IOException {
+	void failsForUnknownRequestOrInvalidArguments() throws IOException {
 		Path log = log("one", "no json");
 		assertThat(run("--log", log.toString(), "r1")).isEqualTo(ExitCode.FAILED);
 		assertThat(run("r1")).isEqualTo(ExitCode.USAGE);
