--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/EntryLinks.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/EntryLinkListener.java
@@ -12,14 +12,14 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Passes what links from entries bring on to the deciding duty, holding a link up while
- * the duty's ring is full.
+ * Forwards events of the links from entries to the duty. Blocks a link's thread while the
+ * ring of the duty is full, which applies back-pressure to the link.
  */
-final class EntryLinks implements LinkListener {
+final class EntryLinkListener implements LinkListener {
 
 	private final Duty<SidecarState> duty;
 
-	EntryLinks(Duty<SidecarState> duty) {
+	EntryLinkListener(Duty<SidecarState> duty) {
 		this.duty = duty;
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/FormerHomes.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/FormerHomeListener.java
@@ -10,13 +10,14 @@
 import dev.laneworks.wire.proto.Protocol;
 
 /**
- * Passes what other sidecars answer about keys on to the deciding duty.
+ * Forwards the replies of the former homes of keys, which are other sidecars, to the
+ * duty.
  */
-final class FormerHomes implements TargetLinkListener {
+final class FormerHomeListener implements TargetLinkListener {
 
 	private final Consumer<Consumer<SidecarState>> duty;
 
-	FormerHomes(Consumer<Consumer<SidecarState>> duty) {
+	FormerHomeListener(Consumer<Consumer<SidecarState>> duty) {
 		this.duty = duty;
 	}
 
@@ -28,9 +29,9 @@
 	@Override
 	public void onFrame(String target, Link link, Protocol.Frame frame) {
 		FrameCodec.decodeSidecarMessage(frame).ifPresent((m) -> {
-			if (m instanceof SidecarMessage.KeyBarResult result) {
-				this.duty.accept(
-						(s) -> s.host().onHomeAnswer(target, result.key(), result.outcome(), MonotonicClock.millis()));
+			if (m instanceof SidecarMessage.KeyBarResult barResult) {
+				this.duty.accept((s) -> s.host()
+					.onHomeAnswer(target, barResult.key(), barResult.outcome(), MonotonicClock.millis()));
 			}
 		});
 	}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/HostTargetEvents.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/HostTargetEvents.java
@@ -8,7 +8,7 @@
 import dev.laneworks.sidecar.target.TargetEvents;
 
 /**
- * Passes what the target does on to the deciding duty.
+ * Forwards events of the target to the generation host on the duty.
  */
 final class HostTargetEvents implements TargetEvents {
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
@@ -41,27 +41,27 @@
 import io.undertow.server.RoutingHandler;
 
 /**
- * One running sidecar: its threads, its links, its target.
+ * One running sidecar with its threads, its links to entries and its target.
  * <p>
- * The duties are: deciding, links (one event loop), HTTP (I/O threads of one worker) and
- * logging.
+ * The generation host runs on one duty thread, links on one event loop, HTTP on the I/O
+ * threads of one worker, and logging on a thread of its own.
  *
  * @since 0.1
  */
 public final class Sidecar {
 
-	private static final int RING = 16_384;
+	private static final int RING_CAPACITY = 16_384;
 
-	private static final Duration TICK = Duration.ofMillis(10);
+	private static final Duration TICK_INTERVAL = Duration.ofMillis(10);
 
-	private static final long PEERS_SUFFICE_MILLIS = 30_000;
+	private static final long PEER_CONFIRMATION_MAX_AGE_MILLIS = 30_000;
 
-	private static final long LEAST_LIST_GAP_MILLIS = 3_000;
+	private static final long MIN_LIST_POLL_INTERVAL_MILLIS = 3_000;
 
 	/**
-	 * The calls of all sidecars together that the live list gets each second, at most.
+	 * Limit on the load that all sidecars together put on the live list.
 	 */
-	private static final int LIST_CALLS_PER_SECOND = 100;
+	private static final int MAX_LIST_CALLS_PER_SECOND = 100;
 
 	private final SidecarSettings settings;
 
@@ -77,15 +77,15 @@
 
 	private volatile boolean ready;
 
-	private volatile int publishedTargets;
+	private volatile int targetCount;
 
 	private Duty<SidecarState> duty;
 
-	private TargetLinks others;
+	private TargetLinks otherSidecars;
 
 	/**
-	 * Create a sidecar; {@link #run()} starts it.
-	 * @param settings its settings
+	 * Create a sidecar that {@link #run()} starts.
+	 * @param settings the settings of the process
 	 */
 	public Sidecar(SidecarSettings settings) {
 		this.settings = settings;
@@ -93,15 +93,15 @@
 	}
 
 	/**
-	 * Run until the planned stop is over.
-	 * @return how the process ends
+	 * Start the sidecar and wait until its graceful shutdown is complete.
+	 * @return the exit code of the process
 	 */
 	public ExitCode run() {
-		MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-		this.duty = new Duty<>("host", createState(loops.next()), RING, TICK, this::tick);
+		MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+		this.duty = new Duty<>("host", createState(eventLoops.next()), RING_CAPACITY, TICK_INTERVAL, this::tick);
 		this.parts.supervisor().start(this.duty);
-		LinkServer server = new LinkServer(loops, this.settings.address(), identity(), LinkSettings.defaults(),
-				new EntryLinks(this.duty));
+		LinkServer server = new LinkServer(eventLoops, this.settings.address(), identity(), LinkSettings.defaults(),
+				new EntryLinkListener(this.duty));
 		OperatorServer operators = new OperatorServer(this.parts.io().worker(),
 				this.settings.common().operatorAddress(), this.parts.metrics(), this.parts.audit(), () -> this.ready,
 				() -> ProcessParts.ask(this.duty, this::status), operatorRoutes());
@@ -115,15 +115,15 @@
 		ExitCode code = this.parts.awaitEnd();
 		operators.stop();
 		server.close();
-		this.others.close();
+		this.otherSidecars.close();
 		this.parts.supervisor().stop();
-		loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+		eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
 		return code;
 	}
 
 	/**
-	 * Start the planned stop.
-	 * @param cause why
+	 * Start a graceful shutdown: drain the target, then end.
+	 * @param cause the reason, for the log
 	 */
 	public void stop(String cause) {
 		this.stopping = true;
@@ -138,61 +138,62 @@
 		ViewHistory views = new ViewHistory();
 		HttpTargetClient client = new HttpTargetClient(this.parts.caller(), this.settings.target(),
 				new HostTargetEvents((c) -> this.duty.put(c)));
-		this.others = new TargetLinks(loop, identity(), LinkSettings.defaults(), this.random,
-				new FormerHomes((c) -> this.duty.put(c)));
-		SidecarOutputs outputs = new SidecarOutputs(this.links, client, this.others);
+		this.otherSidecars = new TargetLinks(loop, identity(), LinkSettings.defaults(), this.random,
+				new FormerHomeListener((c) -> this.duty.put(c)));
+		SidecarOutputs outputs = new SidecarOutputs(this.links, client, this.otherSidecars);
 		KeyGuard guard = new KeyGuard(target, this.incarnation, now, views);
 		GenerationHost host = new GenerationHost(target, this.incarnation, this.settings.host(), guard, ledger,
 				new LearnedLengthModel(this.settings.host().lengthHalfLife(), LearnedLengthModel.DEFAULT_MAX_CLASSES),
 				outputs, this.parts.audit(), now);
 		Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofSeconds(5), this.random);
 		ConfigurationKeeper keeper = new ConfigurationKeeper(ledger, this.parts.configurationService(), backoff,
-				PEERS_SUFFICE_MILLIS, (t) -> this.duty.put((s) -> t.accept(MonotonicClock.millis())), this::inForce,
-				this.parts.audit());
+				PEER_CONFIRMATION_MAX_AGE_MILLIS, (t) -> this.duty.put((s) -> t.accept(MonotonicClock.millis())),
+				this::applyConfiguration, this.parts.audit());
 		registerMetrics(host.counters());
 		return new SidecarState(target, views, this.links, host, keeper, outputs);
 	}
 
-	private void inForce(FleetConfiguration configuration) {
+	private void applyConfiguration(FleetConfiguration configuration) {
 		this.ready = true;
-		this.publishedTargets = configuration.targets().size();
+		this.targetCount = configuration.targets().size();
 		Map<String, InetSocketAddress> addresses = new HashMap<>();
 		for (TargetDescription target : configuration.targets()) {
 			addresses.put(target.name(), new InetSocketAddress(target.host(), target.port()));
 		}
-		this.others.use(addresses, Set.of());
-		this.duty.put((s) -> s.inForce(configuration));
+		this.otherSidecars.use(addresses, Set.of());
+		this.duty.put((s) -> s.applyConfiguration(configuration));
 	}
 
 	private void tick(SidecarState state) {
 		state.tick();
 		if (this.stopping && !this.parts.isEnding() && state.host().isIdle(MonotonicClock.millis())) {
-			state.farewell();
+			state.sendFarewell();
 			this.parts.end(ExitCode.OK);
 		}
 	}
 
 	private void pollLiveList() {
 		HttpLiveList list = new HttpLiveList(this.parts.caller(), this.settings.common().platform());
-		pollLiveList(list, LEAST_LIST_GAP_MILLIS);
+		pollLiveList(list, MIN_LIST_POLL_INTERVAL_MILLIS);
 	}
 
-	private void pollLiveList(HttpLiveList list, long gapMillis) {
+	private void pollLiveList(HttpLiveList list, long delayMillis) {
 		this.parts.io().worker().getIoThread().executeAfter(() -> list.read(this.settings.common().instance(), (r) -> {
 			List<LiveInstance> instances = r.getOrElse(List.of());
 			boolean leaving = instances.stream()
 				.anyMatch((i) -> i.leaving() && i.name().equals(this.settings.common().instance()));
 			if (leaving) {
-				this.duty.put((s) -> s.leave("the platform's list shows it as leaving"));
+				this.duty.put((s) -> s.leave("the live list reports the instance as leaving"));
 			}
-			long next = Math.max(LEAST_LIST_GAP_MILLIS, this.publishedTargets * 1000L / LIST_CALLS_PER_SECOND);
-			pollLiveList(list, next);
-		}), gapMillis, TimeUnit.MILLISECONDS);
+			long nextDelayMillis = Math.max(MIN_LIST_POLL_INTERVAL_MILLIS,
+					this.targetCount * 1000L / MAX_LIST_CALLS_PER_SECOND);
+			pollLiveList(list, nextDelayMillis);
+		}), delayMillis, TimeUnit.MILLISECONDS);
 	}
 
 	private RoutingHandler operatorRoutes() {
 		return Handlers.routing().post("/leave", (HttpServerExchange e) -> {
-			this.duty.put((s) -> s.leave("an operator asked for it"));
+			this.duty.put((s) -> s.leave("requested by an operator"));
 			e.getResponseSender().send("leaving\n");
 		});
 	}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarMain.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarMain.java
@@ -8,7 +8,7 @@
 import dev.laneworks.runtime.program.StopSignals;
 
 /**
- * The command line of {@code laneworks-sidecar}.
+ * Main class of {@code laneworks-sidecar}.
  *
  * @since 0.1
  */
@@ -23,7 +23,8 @@
 	 */
 	public static void main(String[] arguments) {
 		Program<SidecarSettings> program = new Program<>("laneworks-sidecar",
-				"stands beside one target and runs requests on it", SidecarSettings::read, SidecarMain::run, List.of());
+				"runs next to one target and executes requests on it", SidecarSettings::read, SidecarMain::run,
+				List.of());
 		System.exit(program.run(arguments, System.out, System.err).code());
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
@@ -17,8 +17,8 @@
 import dev.laneworks.wire.TargetLinks;
 
 /**
- * Carries out what the host asks: frames to entries, calls to the target, questions to
- * other sidecars.
+ * Outputs of the generation host: messages to entries, calls to the target and key
+ * revocations at other sidecars.
  */
 final class SidecarOutputs implements HostOutputs {
 
@@ -26,31 +26,31 @@
 
 	private final TargetClient target;
 
-	private final TargetLinks others;
+	private final TargetLinks otherSidecars;
 
-	private final Set<String> openHomes = new HashSet<>();
+	private final Set<String> linkedHomes = new HashSet<>();
 
-	private final Map<String, Set<OnceKey>> unsent = new HashMap<>();
+	private final Map<String, Set<OnceKey>> unsentKeys = new HashMap<>();
 
 	private Supplier<LoadReport> load;
 
-	SidecarOutputs(Map<Long, Link> links, TargetClient target, TargetLinks others) {
+	SidecarOutputs(Map<Long, Link> links, TargetClient target, TargetLinks otherSidecars) {
 		this.links = links;
 		this.target = target;
-		this.others = others;
+		this.otherSidecars = otherSidecars;
 	}
 
 	@Override
 	public void send(long link, SidecarMessage message) {
-		Link open = this.links.get(link);
-		if (open == null) {
+		Link openLink = this.links.get(link);
+		if (openLink == null) {
 			return;
 		}
-		open.send(message);
-		// A report costs little in the segment that carries an answer, and much in one of
-		// its own.
+		openLink.send(message);
+		// The load report is cheap when it shares a TCP segment with a reply, and
+		// expensive in one of its own.
 		if (!(message instanceof SidecarMessage.Chunk) && !(message instanceof SidecarMessage.Load)) {
-			sendLoad(open);
+			sendLoad(openLink);
 		}
 	}
 
@@ -86,31 +86,30 @@
 
 	@Override
 	public void askHome(String home, OnceKey key) {
-		if (this.openHomes.contains(home)) {
-			this.others.send(home, new EntryMessage.BarKey(key));
+		if (this.linkedHomes.contains(home)) {
+			this.otherSidecars.send(home, new EntryMessage.BarKey(key));
 			return;
 		}
-		this.unsent.computeIfAbsent(home, (h) -> new HashSet<>()).add(key);
-		this.others.connect(home);
+		this.unsentKeys.computeIfAbsent(home, (h) -> new HashSet<>()).add(key);
+		this.otherSidecars.connect(home);
 	}
 
 	void onHomeUp(String home) {
-		this.openHomes.add(home);
-		Set<OnceKey> keys = this.unsent.remove(home);
+		this.linkedHomes.add(home);
+		Set<OnceKey> keys = this.unsentKeys.remove(home);
 		if (keys != null) {
-			keys.forEach((k) -> this.others.send(home, new EntryMessage.BarKey(k)));
+			keys.forEach((k) -> this.otherSidecars.send(home, new EntryMessage.BarKey(k)));
 		}
 	}
 
-	// Questions that were not sent are given up; the host gives up on their answers by
-	// itself.
+	// Unsent requests are dropped; the host times out waiting for the replies.
 	void onHomeDown(String home) {
-		this.openHomes.remove(home);
-		this.unsent.remove(home);
+		this.linkedHomes.remove(home);
+		this.unsentKeys.remove(home);
 	}
 
-	// The host's outputs are this object, so its load comes after.
-	void use(Supplier<LoadReport> hostLoad) {
+	// Not in the constructor, since the host takes this object as its outputs.
+	void setLoad(Supplier<LoadReport> hostLoad) {
 		this.load = hostLoad;
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarSettings.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarSettings.java
@@ -10,26 +10,26 @@
 import dev.laneworks.runtime.program.CommonSettings;
 
 /**
- * The settings of a sidecar.
+ * Settings of a sidecar.
  *
- * @param common what both programs have
- * @param address where entries reach it
- * @param target the target
- * @param host the bounds and times of the generations
- * @param drainLimit how long a planned stop may take, or zero for as long as it needs
+ * @param common the settings that entries and sidecars share
+ * @param address the address to listen on for links from entries
+ * @param target the base URI of the target
+ * @param host the limits and timeouts of the generation host
+ * @param drainLimit the time limit of a graceful shutdown, or zero for none
  * @since 0.1
  */
 public record SidecarSettings(CommonSettings common, InetSocketAddress address, URI target, HostSettings host,
 		Duration drainLimit) {
 
-	private static final Duration ONE_MILLI = Duration.ofMillis(1);
+	private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
 
-	private static final Duration ONE_HOUR = Duration.ofHours(1);
+	private static final Duration MAX_TIMEOUT = Duration.ofHours(1);
 
 	/**
-	 * Read the settings.
-	 * @param root the document
-	 * @return the settings
+	 * Read the settings from a settings document.
+	 * @param root the root of the document
+	 * @return the validated settings
 	 */
 	public static SidecarSettings read(DocumentObject root) {
 		return new SidecarSettings(CommonSettings.read(root, "target"), Addresses.address(root, "address"),
@@ -52,8 +52,8 @@
 				(int) admission.integer("lengthHalfLife", 1, 1_000_000, defaults.lengthHalfLife()));
 	}
 
-	private static long millis(DocumentObject object, String name, long fallback) {
-		return object.duration(name, ONE_MILLI, ONE_HOUR, Duration.ofMillis(fallback)).toMillis();
+	private static long millis(DocumentObject object, String name, long defaultMillis) {
+		return object.duration(name, MIN_TIMEOUT, MAX_TIMEOUT, Duration.ofMillis(defaultMillis)).toMillis();
 	}
 
 }
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
@@ -15,7 +15,7 @@
 import dev.laneworks.wire.Link;
 
 /**
- * What the sidecar's one deciding duty owns.
+ * Mutable state of a sidecar, confined to the thread of its duty.
  */
 final class SidecarState {
 
@@ -39,7 +39,7 @@
 		this.host = host;
 		this.exchange = new ConfigurationExchange(keeper, (m) -> links.values().forEach((l) -> l.send(m)), false);
 		this.outputs = outputs;
-		outputs.use(host::load);
+		outputs.setLoad(host::load);
 	}
 
 	GenerationHost host() {
@@ -73,7 +73,7 @@
 		this.host.onLinkLost(link.number(), MonotonicClock.millis());
 	}
 
-	void inForce(FleetConfiguration configuration) {
+	void applyConfiguration(FleetConfiguration configuration) {
 		long now = MonotonicClock.millis();
 		this.views.record(configuration.targets(), now);
 		this.exchange.keeper().setWatcher(ConfigurationWatchers.isWatcher(configuration, this.target));
@@ -85,7 +85,7 @@
 		this.outputs.sendLoadToAll();
 	}
 
-	void farewell() {
+	void sendFarewell() {
 		this.host.end();
 		this.links.values().forEach((l) -> l.send(new SidecarMessage.Farewell()));
 	}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarStatus.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarStatus.java
@@ -7,20 +7,20 @@
 import dev.laneworks.core.message.LoadReport;
 
 /**
- * What a sidecar believes, for operators.
+ * Status document of a sidecar for operators.
  *
  * @param target the target's name
- * @param dataCentre its data centre
- * @param incarnation different for each process
- * @param configurationVersion the version in force, or 0
- * @param configurationDigest the SHA-256 of the document in force
- * @param confirmedAgeMillis how long ago the service was heard to hold it, or -1 for
- * never
- * @param lastRefusal the fault of the last document refused, or empty text
- * @param serviceCalls the calls made to the configuration service
- * @param links the links from entries
- * @param load the load
- * @param generations the generations held
+ * @param dataCentre the target's data centre
+ * @param incarnation identifies the process lifetime of the sidecar, in hexadecimal
+ * @param configurationVersion the version of the current configuration, or 0 for none
+ * @param configurationDigest the SHA-256 of the current configuration document
+ * @param confirmedAgeMillis the time since the configuration service was last confirmed
+ * to hold this version, or -1 for never
+ * @param lastRefusal the error in the last rejected document, or an empty string
+ * @param serviceCalls the number of requests to the configuration service
+ * @param links the number of open links from entries
+ * @param load the current load report
+ * @param generations the state of each generation held
  */
 record SidecarStatus(String target, String dataCentre, String incarnation, long configurationVersion,
 		String configurationDigest, long confirmedAgeMillis, String lastRefusal, long serviceCalls, int links,
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/package-info.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The program that stands beside each target.
+ * Sidecar program, which runs next to each target and executes requests on it.
  */
 package dev.laneworks.sidecar;
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/EngineStream.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/EngineStream.java
@@ -14,22 +14,22 @@
 import org.tinylog.Logger;
 
 /**
- * Reads one engine's response of server-sent events, in the form that OpenAI's interface
- * has.
+ * Parses the stream of server-sent events of one generation, in the format of the OpenAI
+ * completions API.
  */
 final class EngineStream implements HttpResponseListener {
 
-	private static final int OK = 200;
+	private static final int STATUS_OK = 200;
 
-	private static final int TOO_MANY_REQUESTS = 429;
+	private static final int STATUS_TOO_MANY_REQUESTS = 429;
 
-	private static final int UNAVAILABLE = 503;
+	private static final int STATUS_UNAVAILABLE = 503;
 
 	private static final int FIRST_SERVER_ERROR = 500;
 
-	private static final int NOT_FOUND = 404;
+	private static final int STATUS_NOT_FOUND = 404;
 
-	private static final int GONE = 410;
+	private static final int STATUS_GONE = 410;
 
 	private static final String DONE = "[DONE]";
 
@@ -43,7 +43,7 @@
 
 	private long nextOffset;
 
-	private boolean over;
+	private boolean ended;
 
 	EngineStream(String generation, long offset, TargetEvents events) {
 		this.generation = generation;
@@ -53,7 +53,7 @@
 
 	@Override
 	public void onNotSent(IOException cause) {
-		lost(TargetLoss.NOT_SENT);
+		reportLoss(TargetLoss.NOT_SENT);
 	}
 
 	@Override
@@ -63,42 +63,43 @@
 
 	@Override
 	public void onBody(ByteBuffer data) {
-		if (this.status == OK) {
+		if (this.status == STATUS_OK) {
 			this.parser.accept(data);
 		}
 	}
 
 	@Override
 	public void onEnd() {
-		if (this.status == OK) {
-			lost(TargetLoss.BROKEN);
+		if (this.status == STATUS_OK) {
+			reportLoss(TargetLoss.BROKEN);
 		}
-		else if (this.status == NOT_FOUND || this.status == GONE) {
-			lost(TargetLoss.UNKNOWN);
+		else if (this.status == STATUS_NOT_FOUND || this.status == STATUS_GONE) {
+			reportLoss(TargetLoss.UNKNOWN);
 		}
-		else if (this.status == TOO_MANY_REQUESTS || this.status == UNAVAILABLE || this.status < FIRST_SERVER_ERROR) {
-			lost(TargetLoss.REFUSED);
+		else if (this.status == STATUS_TOO_MANY_REQUESTS || this.status == STATUS_UNAVAILABLE
+				|| this.status < FIRST_SERVER_ERROR) {
+			reportLoss(TargetLoss.REFUSED);
 		}
 		else {
-			lost(TargetLoss.BROKEN);
+			reportLoss(TargetLoss.BROKEN);
 		}
 	}
 
 	@Override
 	public void onBroken(IOException cause) {
-		lost(TargetLoss.BROKEN);
+		reportLoss(TargetLoss.BROKEN);
 	}
 
 	private void onEvent(String data) {
-		if (this.over || data.equals(DONE)) {
+		if (this.ended || data.equals(DONE)) {
 			return;
 		}
 		try {
 			onChunk(JsonText.read(data));
 		}
 		catch (IOException ex) {
-			Logger.warn("engine sent an event that is not JSON: generation={}", this.generation);
-			lost(TargetLoss.BROKEN);
+			Logger.warn("event from the engine is not JSON, dropping the stream: generation={}", this.generation);
+			reportLoss(TargetLoss.BROKEN);
 		}
 	}
 
@@ -111,15 +112,15 @@
 		}
 		String finish = choice.path("finish_reason").asText("");
 		if (!finish.isEmpty() && !finish.equals("null")) {
-			this.over = true;
+			this.ended = true;
 			FinishReason reason = finish.equals(FinishReason.LENGTH.label()) ? FinishReason.LENGTH : FinishReason.STOP;
 			this.events.onEnd(this.generation, this.nextOffset, reason);
 		}
 	}
 
-	private void lost(TargetLoss loss) {
-		if (!this.over) {
-			this.over = true;
+	private void reportLoss(TargetLoss loss) {
+		if (!this.ended) {
+			this.ended = true;
 			this.events.onLost(this.generation, loss);
 		}
 	}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/ForwardingResponse.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/ForwardingResponse.java
@@ -9,7 +9,7 @@
 import io.vavr.control.Either;
 
 /**
- * Gathers a response and tells besides whether the request may have been sent.
+ * Buffers a response and reports whether the request may have been sent.
  */
 abstract class ForwardingResponse implements HttpResponseListener {
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
@@ -19,10 +19,10 @@
 import io.vavr.control.Either;
 
 /**
- * Gives requests to an engine or a plain service over HTTP.
+ * Target client for an engine or a plain service that is called over HTTP.
  * <p>
- * A generation has at most one stream at a time: asking for its output again gives the
- * old stream up. Thread-safe.
+ * A generation has at most one stream at a time: reattaching closes the previous stream.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -45,15 +45,15 @@
 	private final ConcurrentMap<String, HttpExchange> streams = new ConcurrentHashMap<>();
 
 	/**
-	 * Create a client.
-	 * @param caller makes the calls
-	 * @param server the target
-	 * @param events hears what the target does
+	 * Create a client of one target.
+	 * @param caller sends the requests
+	 * @param server the base URI of the target
+	 * @param events receives the events of all generations
 	 */
 	public HttpTargetClient(HttpCaller caller, URI server, TargetEvents events) {
 		this.caller = caller;
 		this.server = server;
-		this.events = new Forgetting(events);
+		this.events = new StreamRemovingEvents(events);
 	}
 
 	@Override
@@ -103,9 +103,9 @@
 
 	private void stream(String generation, HttpCall call, long offset) {
 		HttpExchange exchange = this.caller.call(call, new EngineStream(generation, offset, this.events));
-		HttpExchange old = this.streams.put(generation, exchange);
-		if (old != null) {
-			old.abandon();
+		HttpExchange previous = this.streams.put(generation, exchange);
+		if (previous != null) {
+			previous.abandon();
 		}
 	}
 
@@ -126,7 +126,7 @@
 	}
 
 	/**
-	 * Gathers the answer of a plain service.
+	 * Buffers the response of a plain service.
 	 */
 	private final class ServiceAnswer extends ForwardingResponse {
 
@@ -151,13 +151,13 @@
 	}
 
 	/**
-	 * Forgets a generation's stream when it is over.
+	 * Removes the stream of a generation when it ends.
 	 */
-	private final class Forgetting implements TargetEvents {
+	private final class StreamRemovingEvents implements TargetEvents {
 
 		private final TargetEvents next;
 
-		Forgetting(TargetEvents next) {
+		StreamRemovingEvents(TargetEvents next) {
 			this.next = next;
 		}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/TargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/TargetClient.java
@@ -3,47 +3,48 @@
 import dev.laneworks.core.message.Work;
 
 /**
- * Gives requests to the target.
+ * Client of the target next to the sidecar.
  *
  * @since 0.1
  */
 public interface TargetClient {
 
 	/**
-	 * Hand a request to the target.
-	 * @param generation the generation's name
-	 * @param work the request
+	 * Start the execution of a request.
+	 * @param generation the id to assign to the generation
+	 * @param work the request to execute
 	 */
 	void start(String generation, Work work);
 
 	/**
-	 * Ask for a generation's output from an offset on.
-	 * @param generation the generation's name
-	 * @param offset the first offset wanted
+	 * Request the output of a generation again.
+	 * @param generation the id of the generation
+	 * @param offset the first offset to return
 	 */
 	void reattach(String generation, long offset);
 
 	/**
 	 * Cancel a generation.
-	 * @param generation the generation's name
+	 * @param generation the id of the generation
 	 */
 	void cancel(String generation);
 
 	/**
-	 * Set a generation aside.
-	 * @param generation the generation's name
+	 * Preempt a generation.
+	 * @param generation the id of the generation
 	 */
 	void pause(String generation);
 
 	/**
-	 * Go on with a generation that was set aside.
-	 * @param generation the generation's name
+	 * Resume a preempted generation.
+	 * @param generation the id of the generation
 	 */
 	void resume(String generation);
 
 	/**
-	 * Ask whether the target holds a generation.
-	 * @param generation the generation's name
+	 * Request whether the target holds a generation; {@link TargetEvents#onLookUp}
+	 * receives the result.
+	 * @param generation the id of the generation
 	 */
 	void lookUp(String generation);
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/TargetEvents.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/TargetEvents.java
@@ -4,7 +4,7 @@
 import dev.laneworks.core.message.FinishReason;
 
 /**
- * Hears what the target does with generations.
+ * Listener for the events of a target's generations.
  * <p>
  * Called on I/O threads.
  *
@@ -13,32 +13,32 @@
 public interface TargetEvents {
 
 	/**
-	 * Hear of a piece of output.
-	 * @param generation the generation's name
-	 * @param offset the number of pieces before it
-	 * @param data the output
+	 * Handle a chunk of output.
+	 * @param generation the id of the generation
+	 * @param offset the number of chunks before this one
+	 * @param data the output in UTF-8, or the encoded reply of a plain service
 	 */
 	void onChunk(String generation, long offset, byte[] data);
 
 	/**
-	 * Hear of the end of an output.
-	 * @param generation the generation's name
-	 * @param total the number of pieces of the whole output
-	 * @param reason why it ended
+	 * Handle the completion of an output.
+	 * @param generation the id of the generation
+	 * @param total the number of chunks of the complete output
+	 * @param reason the reason why the output ended
 	 */
 	void onEnd(String generation, long total, FinishReason reason);
 
 	/**
-	 * Hear of the loss of an output.
-	 * @param generation the generation's name
-	 * @param loss how it was lost
+	 * Handle the loss of an output.
+	 * @param generation the id of the generation
+	 * @param loss the kind of failure
 	 */
 	void onLost(String generation, TargetLoss loss);
 
 	/**
-	 * Hear whether the target holds a generation.
-	 * @param generation the generation's name
-	 * @param found whether it does
+	 * Handle the result of a lookup.
+	 * @param generation the id of the generation
+	 * @param found whether the target holds the generation
 	 */
 	void onLookUp(String generation, boolean found);
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/package-info.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Talks to the target over HTTP.
+ * HTTP client of the target next to the sidecar.
  */
 package dev.laneworks.sidecar.target;
