--- a/laneworks-entry/src/main/java/dev/laneworks/entry/DutyCallPort.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/DutyCallPort.java
@@ -45,11 +45,11 @@
 		this.configuration = newConfiguration;
 	}
 
-	void onLinkUp(String target, long incarnation) {
+	void recordLinkUp(String target, long incarnation) {
 		this.incarnations.put(target, incarnation);
 	}
 
-	void onLinkDown(String target) {
+	void recordLinkDown(String target) {
 		this.incarnations.remove(target);
 	}
 
@@ -89,7 +89,7 @@
 	}
 
 	@Override
-	public void onCallerDisconnected(long call) {
+	public void recordDisconnect(long call) {
 		this.duty.get().put((s) -> s.onCallerDisconnected(call));
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/SidecarLinkListener.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/SidecarLinkListener.java
@@ -31,7 +31,7 @@
 	public void onUp(String target, Link link) {
 		if (!isSeed(target)) {
 			long incarnation = link.peer().incarnation();
-			this.calls.onLinkUp(target, incarnation);
+			this.calls.recordLinkUp(target, incarnation);
 			this.duty.accept((s) -> s.coordinator().onLinkUp(target, incarnation, MonotonicClock.millis()));
 		}
 	}
@@ -52,7 +52,7 @@
 	@Override
 	public void onDown(String target) {
 		if (!isSeed(target)) {
-			this.calls.onLinkDown(target);
+			this.calls.recordLinkDown(target);
 			this.duty.accept((s) -> s.coordinator().onLinkDown(target, MonotonicClock.millis()));
 		}
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallPort.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallPort.java
@@ -55,10 +55,10 @@
 	void recordConsumed(long call, long offset);
 
 	/**
-	 * Handle the disconnection of a caller.
+	 * Record that the caller disconnected.
 	 * @param call the call number
 	 */
-	void onCallerDisconnected(long call);
+	void recordDisconnect(long call);
 
 	/**
 	 * Create a ticket for a request that must run at most once.
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -251,11 +251,11 @@
 	private StreamedResponse createStreamedResponse(HttpServerExchange exchange, CompletionJson json, long call) {
 		return new StreamedResponse(exchange, json, new TokenSealer(this.secret), this.times.start(),
 				this.settings.stalledTimeout(), (o) -> this.calls.recordConsumed(call, o),
-				() -> this.calls.onCallerDisconnected(call));
+				() -> this.calls.recordDisconnect(call));
 	}
 
 	private void trackResponse(HttpServerExchange exchange, long call) {
-		new CallerPresence(exchange, () -> this.calls.onCallerDisconnected(call)).watch();
+		new CallerPresence(exchange, () -> this.calls.recordDisconnect(call)).watch();
 		AtomicBoolean open = new AtomicBoolean(true);
 		this.openResponses.incrementAndGet();
 		exchange.addExchangeCompleteListener((e, next) -> {
@@ -265,7 +265,7 @@
 		exchange.getConnection().addCloseListener((c) -> {
 			onResponseClosed(open);
 			if (!exchange.isComplete()) {
-				this.calls.onCallerDisconnected(call);
+				this.calls.recordDisconnect(call);
 			}
 		});
 	}
