--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -126,8 +126,8 @@
 		String instance = this.settings.common().instance();
 		String dataCentre = this.settings.common().dataCentre();
 		TargetBoard board = new TargetBoard();
-		TargetSubset subset = new TargetSubset(instance, dataCentre, this.settings.ownShare(),
-				this.settings.otherShare());
+		TargetSubset subset = new TargetSubset(instance, dataCentre, this.settings.targetsInOwnDataCentre(),
+				this.settings.targetsInOtherDataCentres());
 		DefaultTargetSelector selector = new DefaultTargetSelector(board, subset, dataCentre, this.random);
 		PeerIdentity self = new PeerIdentity(instance, dataCentre, this.random.nextLong());
 		this.links = new TargetLinks(loop, self, LinkSettings.defaults(), this.random.split(),
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntrySettings.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntrySettings.java
@@ -19,8 +19,10 @@
  * @param common the settings that entries and sidecars share
  * @param callers the limits of callers' connections and requests
  * @param calls the limits and timeouts of calls
- * @param ownShare the maximum number of targets per model in the entry's own data centre
- * @param otherShare the maximum number of targets per model in each other data centre
+ * @param targetsInOwnDataCentre the maximum number of targets per model in the entry's
+ * own data centre
+ * @param targetsInOtherDataCentres the maximum number of targets per model in each other
+ * data centre
  * @param retryShare the number of retries that each success adds to the retry budget
  * @param secret the key shared by all entries that seals tickets and stream positions
  * @param seeds sidecars to fetch the configuration from while the configuration service
@@ -28,8 +30,9 @@
  * @param drainLimit the time limit of a graceful shutdown, or zero for none
  * @since 0.1
  */
-public record EntrySettings(CommonSettings common, CallerSettings callers, CallSettings calls, int ownShare,
-		int otherShare, double retryShare, byte[] secret, List<InetSocketAddress> seeds, Duration drainLimit) {
+public record EntrySettings(CommonSettings common, CallerSettings callers, CallSettings calls,
+		int targetsInOwnDataCentre, int targetsInOtherDataCentres, double retryShare, byte[] secret,
+		List<InetSocketAddress> seeds, Duration drainLimit) {
 
 	private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
 
