--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -218,7 +218,7 @@
 			String model = readModel(body);
 			if (c.intent(a.name(), model).isEmpty()) {
 				CallerProblem.send(exchange, Refusal.never(RefusalReason.UNKNOWN_MODEL,
-						"the account has no access to a model or service named '" + model + "'"));
+						"the account may use no model or service named '" + model + "'"));
 				return;
 			}
 			Optional<OnceTicket> ticket = this.calls.createTicket(a.name(), model);
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -107,8 +107,8 @@
 		}
 		Optional<Intent> intent = configuration.intent(account.name(), model);
 		if (intent.isEmpty() || configuration.service(model).isPresent()) {
-			return Either.left(Refusal.never(RefusalReason.UNKNOWN_MODEL,
-					"the account has no access to a model named '" + model + "'"));
+			return Either
+				.left(Refusal.never(RefusalReason.UNKNOWN_MODEL, "the account may use no model named '" + model + "'"));
 		}
 		boolean stream = object.path("stream").asBoolean(false);
 		String prompt = (kind == WorkKind.CHAT) ? object.path(input).toString() : object.path(input).asText();
@@ -130,8 +130,8 @@
 		Optional<ServiceDescription> service = configuration.service(name);
 		Optional<Intent> intent = configuration.intent(account.name(), name);
 		if (service.isEmpty() || intent.isEmpty()) {
-			return Either.left(Refusal.never(RefusalReason.UNKNOWN_MODEL,
-					"the account has no access to a service named '" + name + "'"));
+			return Either.left(
+					Refusal.never(RefusalReason.UNKNOWN_MODEL, "the account may use no service named '" + name + "'"));
 		}
 		String method = exchange.getRequestMethod().toString();
 		String query = exchange.getQueryString().isEmpty() ? "" : '?' + exchange.getQueryString();
