--- a/laneworks-bench/src/main/java/dev/laneworks/bench/BenchMain.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/BenchMain.java
@@ -12,7 +12,7 @@
 import dev.laneworks.runtime.program.ProgramCommand;
 
 /**
- * The command line of the measurements.
+ * Command line of the measurements and the fuzz tool.
  *
  * @since 0.1
  */
@@ -25,8 +25,8 @@
 	}
 
 	/**
-	 * Run a command.
-	 * @param arguments the command and its arguments
+	 * Run a command and exit with its code.
+	 * @param arguments the name of the command and its arguments
 	 */
 	public static void main(String[] arguments) {
 		System.setProperty("org.jboss.logging.provider", "slf4j");
@@ -40,7 +40,7 @@
 				return command.run(Arrays.asList(arguments).subList(1, arguments.length), System.out, System.err);
 			}
 		}
-		System.err.println("bin/bench: a command is needed:");
+		System.err.println("bin/bench: expected one of these commands:");
 		COMMANDS.forEach((c) -> System.err.println("  " + c.name() + ' ' + c.summary()));
 		return ExitCode.USAGE;
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCall.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCall.java
@@ -9,8 +9,8 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * One caller's request, over all the entries it is read through, and what the caller saw
- * of it.
+ * Request of one caller, with what the caller received over all its connections to
+ * entries.
  */
 final class FakeCall {
 
@@ -30,15 +30,15 @@
 
 	private String generation = "";
 
-	private int seen;
+	private int receivedTokens;
 
-	private boolean whole;
+	private boolean complete;
 
 	private Refusal refusal;
 
 	private boolean connected = true;
 
-	private int tries = 1;
+	private int connectionCount = 1;
 
 	FakeCall(int number, String requestId, Optional<OnceKey> key, boolean repeatable, int length, long startedAt) {
 		this.number = number;
@@ -69,12 +69,12 @@
 		return this.startedAt;
 	}
 
-	boolean isOver() {
-		return this.whole || this.refusal != null;
+	boolean isFinished() {
+		return this.complete || this.refusal != null;
 	}
 
-	boolean isWhole() {
-		return this.whole;
+	boolean isComplete() {
+		return this.complete;
 	}
 
 	Optional<Verdict> verdict() {
@@ -86,7 +86,7 @@
 	}
 
 	String outcome() {
-		if (this.whole) {
+		if (this.complete) {
 			return "whole";
 		}
 		if (this.refusal != null) {
@@ -97,15 +97,16 @@
 
 	Optional<StreamPosition> position() {
 		return Optional.ofNullable(this.position)
-			.map((p) -> new StreamPosition(p.target(), p.incarnation(), p.generation(), p.account(), this.seen));
+			.map((p) -> new StreamPosition(p.target(), p.incarnation(), p.generation(), p.account(),
+					this.receivedTokens));
 	}
 
 	boolean isConnected() {
 		return this.connected;
 	}
 
-	int tries() {
-		return this.tries;
+	int connectionCount() {
+		return this.connectionCount;
 	}
 
 	void disconnect() {
@@ -114,7 +115,7 @@
 
 	void reconnect() {
 		this.connected = true;
-		this.tries++;
+		this.connectionCount++;
 		this.refusal = null;
 	}
 
@@ -122,45 +123,46 @@
 		this.position = start;
 	}
 
-	void token(long offset, byte[] data) {
+	void receiveToken(long offset, byte[] data) {
 		requireOpen("a token");
 		String[] parts = new String(data, StandardCharsets.UTF_8).split("#");
 		if (this.generation.isEmpty()) {
 			this.generation = parts[0];
 		}
 		require(this.generation.equals(parts[0]),
-				"saw tokens of two generations, " + this.generation + " and " + parts[0]);
+				"received tokens of two generations, " + this.generation + " and " + parts[0]);
 		require(this.generation.startsWith(this.requestId) || this.key.isPresent(),
-				"saw a token of another request, " + parts[0]);
+				"received a token of another request, " + parts[0]);
 		require(this.key.isEmpty() || this.generation.equals(this.key.get().generationName()),
-				"saw a token of another key, " + parts[0]);
-		require(offset == this.seen && Integer.parseInt(parts[1]) == this.seen,
-				"saw token " + parts[1] + " at offset " + offset + " when " + this.seen + " was next");
-		this.seen++;
+				"received a token of another key, " + parts[0]);
+		require(offset == this.receivedTokens && Integer.parseInt(parts[1]) == this.receivedTokens, "received token "
+				+ parts[1] + " at offset " + offset + " although " + this.receivedTokens + " was expected");
+		this.receivedTokens++;
 	}
 
 	void finish(long total) {
 		requireOpen("an end");
-		require(this.seen == total, "was told that " + total + " tokens are the whole but saw " + this.seen);
+		require(this.receivedTokens == total, "ended after " + total + " tokens but received " + this.receivedTokens);
 		require(this.key.isPresent() || total == this.length,
-				"was told that " + total + " tokens are the whole but " + this.length + " are");
-		this.whole = true;
+				"ended after " + total + " tokens but " + this.length + " are expected");
+		this.complete = true;
 	}
 
 	void refuse(Refusal answer) {
 		requireOpen("a refusal");
-		require(answer.verdict() != Verdict.NOT_RUN || this.seen == 0, "was refused as not run after tokens came");
+		require(answer.verdict() != Verdict.NOT_RUN || this.receivedTokens == 0,
+				"was refused as not run after it received tokens");
 		this.refusal = answer;
 	}
 
 	private void requireOpen(String what) {
-		require(this.connected, "got " + what + " after its caller had left");
-		require(!isOver(), "got " + what + " after its final answer");
+		require(this.connected, "received " + what + " after its caller disconnected");
+		require(!isFinished(), "received " + what + " after its final answer");
 	}
 
-	private void require(boolean holds, String problem) {
-		if (!holds) {
-			throw new PromiseBrokenException("call " + this.number + ' ' + problem);
+	private void require(boolean condition, String problem) {
+		if (!condition) {
+			throw new InvariantViolationException("call " + this.number + ' ' + problem);
 		}
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakePlatform.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeConfigurationService.java
@@ -8,15 +8,15 @@
 import io.vavr.control.Either;
 
 /**
- * A configuration service that can be down or stale.
+ * Configuration service that can be unavailable or return stale documents.
  */
-final class FakePlatform implements ConfigurationService {
+final class FakeConfigurationService implements ConfigurationService {
 
-	private static final long WAIT_MILLIS = 2_000;
+	private static final long WATCH_MILLIS = 2_000;
 
-	private static final long POLL_MILLIS = 50;
+	private static final long POLL_INTERVAL_MILLIS = 50;
 
-	private static final long ANSWER_MILLIS = 3;
+	private static final long ANSWER_DELAY_MILLIS = 3;
 
 	private final VirtualTime time;
 
@@ -32,7 +32,7 @@
 
 	private long staleUntil;
 
-	FakePlatform(VirtualTime time) {
+	FakeConfigurationService(VirtualTime time) {
 		this.time = time;
 	}
 
@@ -41,11 +41,11 @@
 		this.text = document;
 	}
 
-	void goDown(long millis) {
+	void startOutage(long millis) {
 		this.downUntil = this.time.now() + millis;
 	}
 
-	void goStale(long millis) {
+	void startStalePeriod(long millis) {
 		if (this.time.now() >= this.staleUntil) {
 			this.staleText = this.text;
 			this.staleVersion = this.version;
@@ -55,30 +55,30 @@
 
 	@Override
 	public void watch(long afterVersion, Consumer<Either<IOException, PublishedDocument>> receiver) {
-		poll(afterVersion, this.time.now() + WAIT_MILLIS, receiver);
+		poll(afterVersion, this.time.now() + WATCH_MILLIS, receiver);
 	}
 
 	private void poll(long after, long until, Consumer<Either<IOException, PublishedDocument>> receiver) {
 		if (this.time.now() < this.downUntil) {
-			answer(receiver, Either.left(new IOException("down")));
+			answer(receiver, Either.left(new IOException("the configuration service is unavailable")));
 			return;
 		}
 		boolean stale = this.time.now() < this.staleUntil;
-		long held = stale ? this.staleVersion : this.version;
-		if (held > after) {
-			answer(receiver, Either.right(new PublishedDocument(held, stale ? this.staleText : this.text)));
+		long currentVersion = stale ? this.staleVersion : this.version;
+		if (currentVersion > after) {
+			answer(receiver, Either.right(new PublishedDocument(currentVersion, stale ? this.staleText : this.text)));
 		}
 		else if (this.time.now() >= until) {
-			answer(receiver, Either.right(new PublishedDocument(held, "")));
+			answer(receiver, Either.right(new PublishedDocument(currentVersion, "")));
 		}
 		else {
-			this.time.after(POLL_MILLIS, () -> poll(after, until, receiver));
+			this.time.schedule(POLL_INTERVAL_MILLIS, () -> poll(after, until, receiver));
 		}
 	}
 
 	private void answer(Consumer<Either<IOException, PublishedDocument>> receiver,
 			Either<IOException, PublishedDocument> answer) {
-		this.time.after(ANSWER_MILLIS, () -> receiver.accept(answer));
+		this.time.schedule(ANSWER_DELAY_MILLIS, () -> receiver.accept(answer));
 	}
 
 }
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEngine.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEngine.java
@@ -10,13 +10,14 @@
 import dev.laneworks.core.host.TargetLoss;
 
 /**
- * An engine that knows generations by name, holds their output and can die.
+ * Engine that identifies generations by name, retains their output for a time and can
+ * crash.
  */
 final class FakeEngine {
 
-	private static final long TOKEN_MILLIS = 20;
+	private static final long TOKEN_INTERVAL_MILLIS = 20;
 
-	private static final long HOLD_MILLIS = 60_000;
+	private static final long RETENTION_MILLIS = 60_000;
 
 	private final VirtualTime time;
 
@@ -36,7 +37,7 @@
 		this.index = index;
 	}
 
-	// Takes a request that was on its way; a name that is held is not run again.
+	// Start a generation, or attach to its output if it has already been started.
 	void start(String name, int length, FakeStream stream) {
 		if (this.down) {
 			stream.lost(TargetLoss.NOT_SENT);
@@ -47,13 +48,13 @@
 			return;
 		}
 		if (!this.outputs.containsKey(name)) {
-			this.oracle.ran(name, this.index);
+			this.oracle.recordRun(name, this.index);
 			Output output = new Output(name, length);
 			this.outputs.put(name, output);
-			Map<String, Output> memory = this.outputs;
-			this.time.after(TOKEN_MILLIS, () -> emit(memory, output));
+			Map<String, Output> outputsAtStart = this.outputs;
+			this.time.schedule(TOKEN_INTERVAL_MILLIS, () -> emit(outputsAtStart, output));
 		}
-		this.outputs.get(name).read(stream, 0);
+		this.outputs.get(name).attach(stream, 0);
 	}
 
 	void reattach(String name, int offset, FakeStream stream) {
@@ -66,7 +67,7 @@
 			stream.lost(TargetLoss.UNKNOWN);
 			return;
 		}
-		output.read(stream, offset);
+		output.attach(stream, offset);
 	}
 
 	void cancel(String name) {
@@ -78,31 +79,31 @@
 		return !this.down && this.outputs.containsKey(name);
 	}
 
-	void die(long backAfterMillis) {
+	void crash(long downMillis) {
 		Map<String, Output> old = this.outputs;
 		this.outputs = new HashMap<>();
 		this.cancelled = new HashSet<>();
 		this.down = true;
-		this.time.after(backAfterMillis, () -> this.down = false);
+		this.time.schedule(downMillis, () -> this.down = false);
 		old.values().forEach(Output::breakStreams);
 	}
 
-	private void emit(Map<String, Output> memory, Output output) {
-		if (memory != this.outputs || this.outputs.get(output.name) != output) {
+	private void emit(Map<String, Output> outputsAtStart, Output output) {
+		if (outputsAtStart != this.outputs || this.outputs.get(output.name) != output) {
 			return;
 		}
-		output.made++;
-		output.pump();
-		if (output.made < output.length) {
-			this.time.after(TOKEN_MILLIS, () -> emit(memory, output));
+		output.produced++;
+		output.deliverProduced();
+		if (output.produced < output.length) {
+			this.time.schedule(TOKEN_INTERVAL_MILLIS, () -> emit(outputsAtStart, output));
 		}
 		else {
-			this.time.after(HOLD_MILLIS, () -> memory.remove(output.name, output));
+			this.time.schedule(RETENTION_MILLIS, () -> outputsAtStart.remove(output.name, output));
 		}
 	}
 
 	/**
-	 * The output of one generation.
+	 * Output of one generation and the responses that read it.
 	 */
 	private static final class Output {
 
@@ -110,38 +111,38 @@
 
 		private final int length;
 
-		private final Map<FakeStream, Integer> readers = new HashMap<>();
+		private final Map<FakeStream, Integer> nextOffsets = new HashMap<>();
 
-		private int made;
+		private int produced;
 
 		Output(String name, int length) {
 			this.name = name;
 			this.length = length;
 		}
 
-		void read(FakeStream stream, int offset) {
-			this.readers.put(stream, offset);
-			pump();
+		void attach(FakeStream stream, int offset) {
+			this.nextOffsets.put(stream, offset);
+			deliverProduced();
 		}
 
-		void pump() {
-			for (FakeStream stream : new ArrayList<>(this.readers.keySet())) {
-				int offset = this.readers.get(stream);
-				while (offset < this.made) {
-					stream.chunk(offset, Oracle.token(this.name, offset));
+		void deliverProduced() {
+			for (FakeStream stream : new ArrayList<>(this.nextOffsets.keySet())) {
+				int offset = this.nextOffsets.get(stream);
+				while (offset < this.produced) {
+					stream.chunk(offset, Oracle.tokenData(this.name, offset));
 					offset++;
 				}
-				this.readers.put(stream, offset);
-				if (this.made == this.length) {
+				this.nextOffsets.put(stream, offset);
+				if (this.produced == this.length) {
 					stream.end(this.length);
-					this.readers.remove(stream);
+					this.nextOffsets.remove(stream);
 				}
 			}
 		}
 
 		void breakStreams() {
-			List<FakeStream> streams = new ArrayList<>(this.readers.keySet());
-			this.readers.clear();
+			List<FakeStream> streams = new ArrayList<>(this.nextOffsets.keySet());
+			this.nextOffsets.clear();
 			streams.forEach((s) -> s.lost(TargetLoss.BROKEN));
 		}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
@@ -27,7 +27,7 @@
 import dev.laneworks.core.verdict.Refusal;
 
 /**
- * An entry's decisions over fake links and fake callers.
+ * Entry that runs the core's call coordinator over fake links and fake callers.
  */
 final class FakeEntry extends FakeProcess implements CallOutputs {
 
@@ -35,17 +35,17 @@
 
 	private static final long PEERS_SUFFICE_MILLIS = 3_000;
 
-	private static final long CALLER_READS_MILLIS = 2;
+	private static final long CALLER_READ_DELAY_MILLIS = 2;
 
 	private final VirtualTime time;
 
-	private final World world;
+	private final FakeCluster cluster;
 
 	private final int index;
 
 	private final Map<Integer, FakeLink> links = new HashMap<>();
 
-	private final Map<Long, Connection> callers = new HashMap<>();
+	private final Map<Long, Connection> connections = new HashMap<>();
 
 	private final DefaultTargetSelector selector;
 
@@ -55,12 +55,13 @@
 
 	private long highestVersion;
 
-	private long numbers;
+	private long lastNumber;
 
-	FakeEntry(VirtualTime time, SplittableRandom random, World world, int index, FakePlatform platform) {
+	FakeEntry(VirtualTime time, SplittableRandom random, FakeCluster cluster, int index,
+			FakeConfigurationService configurationService) {
 		super(time);
 		this.time = time;
-		this.world = world;
+		this.cluster = cluster;
 		this.index = index;
 		TargetBoard board = new TargetBoard();
 		this.selector = new DefaultTargetSelector(board, new TargetSubset("entry-" + index, "east", 3, 3), "east",
@@ -68,9 +69,9 @@
 		this.coordinator = new CallCoordinator(SETTINGS, this.selector, board, new RetryBudget(0.5, 5, 20),
 				new Backoff(Duration.ofMillis(20), Duration.ofMillis(200), random), this, (e) -> {
 				});
-		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationLedger(), platform,
+		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationLedger(), configurationService,
 				new Backoff(Duration.ofMillis(50), Duration.ofSeconds(1), random), PEERS_SUFFICE_MILLIS,
-				(t) -> run(() -> t.accept(time.now())), this::inForce, (e) -> {
+				(t) -> run(() -> t.accept(time.now())), this::applyConfiguration, (e) -> {
 				});
 		keeper.setWatcher(false);
 		this.exchange = new ConfigurationExchange(keeper, (m) -> this.links.values().forEach((l) -> send(l, m)), true);
@@ -93,24 +94,24 @@
 	}
 
 	Optional<Long> incarnation(int sidecar) {
-		return this.coordinator.incarnation(World.targetName(sidecar));
+		return this.coordinator.incarnation(FakeCluster.targetName(sidecar));
 	}
 
 	void open(FakeCall call, CallRequest request) {
-		long number = ++this.numbers;
-		this.callers.put(number, new Connection(call, call.tries()));
+		long number = ++this.lastNumber;
+		this.connections.put(number, new Connection(call, call.connectionCount()));
 		this.coordinator.open(number, request, this.time.now());
 	}
 
 	void resume(FakeCall call, CallRequest request, StreamPosition position) {
-		long number = ++this.numbers;
-		this.callers.put(number, new Connection(call, call.tries()));
+		long number = ++this.lastNumber;
+		this.connections.put(number, new Connection(call, call.connectionCount()));
 		this.coordinator.resume(number, request, position, this.time.now());
 	}
 
-	void callerLeft(FakeCall call) {
-		this.callers.entrySet().stream().filter((e) -> e.getValue().call() == call).findFirst().ifPresent((e) -> {
-			this.callers.remove(e.getKey());
+	void callerDisconnected(FakeCall call) {
+		this.connections.entrySet().stream().filter((e) -> e.getValue().call() == call).findFirst().ifPresent((e) -> {
+			this.connections.remove(e.getKey());
 			this.coordinator.onCallerLeft(e.getKey());
 		});
 	}
@@ -118,22 +119,22 @@
 	void linkUp(FakeLink link) {
 		this.links.put(link.sidecar().index(), link);
 		send(link, this.exchange.notice(this.time.now()));
-		this.coordinator.onLinkUp(World.targetName(link.sidecar().index()), link.sidecar().incarnation(),
+		this.coordinator.onLinkUp(FakeCluster.targetName(link.sidecar().index()), link.sidecar().incarnation(),
 				this.time.now());
 	}
 
 	void linkLost(FakeLink link) {
 		if (this.links.remove(link.sidecar().index(), link)) {
-			this.coordinator.onLinkDown(World.targetName(link.sidecar().index()), this.time.now());
+			this.coordinator.onLinkDown(FakeCluster.targetName(link.sidecar().index()), this.time.now());
 		}
 	}
 
 	void connectFailed(int sidecar) {
-		this.coordinator.onLinkDown(World.targetName(sidecar), this.time.now());
+		this.coordinator.onLinkDown(FakeCluster.targetName(sidecar), this.time.now());
 	}
 
 	void onMessage(int sidecar, SidecarMessage message) {
-		this.coordinator.onMessage(World.targetName(sidecar), message, this.time.now());
+		this.coordinator.onMessage(FakeCluster.targetName(sidecar), message, this.time.now());
 	}
 
 	void onMessage(FakeLink link, ConfigurationMessage message) {
@@ -148,12 +149,12 @@
 
 	@Override
 	public void connect(String target) {
-		this.world.connect(this, World.targetIndex(target));
+		this.cluster.connect(this, FakeCluster.targetIndex(target));
 	}
 
 	@Override
 	public void send(String target, EntryMessage message) {
-		FakeLink link = this.links.get(World.targetIndex(target));
+		FakeLink link = this.links.get(FakeCluster.targetIndex(target));
 		if (link != null) {
 			link.sendToSidecar(() -> link.sidecar().onMessage(link, message));
 		}
@@ -161,35 +162,35 @@
 
 	@Override
 	public void accepted(long call, StreamPosition position, String route) {
-		caller(call).ifPresent((c) -> c.accepted(position));
+		findCall(call).ifPresent((c) -> c.accepted(position));
 	}
 
 	@Override
 	public void deliver(long call, long offset, byte[] data) {
-		caller(call).ifPresent((c) -> c.token(offset, data));
-		this.time.after(CALLER_READS_MILLIS, () -> run(() -> this.coordinator.onCallerRead(call, offset + 1)));
+		findCall(call).ifPresent((c) -> c.receiveToken(offset, data));
+		this.time.schedule(CALLER_READ_DELAY_MILLIS, () -> run(() -> this.coordinator.onCallerRead(call, offset + 1)));
 	}
 
 	@Override
 	public void finish(long call, long total, FinishReason reason) {
-		caller(call).ifPresent((c) -> c.finish(total));
-		this.callers.remove(call);
+		findCall(call).ifPresent((c) -> c.finish(total));
+		this.connections.remove(call);
 	}
 
 	@Override
 	public void refuse(long call, Refusal refusal) {
-		caller(call).ifPresent((c) -> c.refuse(refusal));
-		this.callers.remove(call);
+		findCall(call).ifPresent((c) -> c.refuse(refusal));
+		this.connections.remove(call);
 	}
 
-	private Optional<FakeCall> caller(long call) {
-		return Optional.ofNullable(this.callers.get(call)).filter(Connection::isOpen).map(Connection::call);
+	private Optional<FakeCall> findCall(long call) {
+		return Optional.ofNullable(this.connections.get(call)).filter(Connection::isOpen).map(Connection::call);
 	}
 
-	private void inForce(FleetConfiguration configuration) {
+	private void applyConfiguration(FleetConfiguration configuration) {
 		if (configuration.version() <= this.highestVersion) {
-			throw new PromiseBrokenException("entry " + this.index + " went back from version " + this.highestVersion
-					+ " to " + configuration.version());
+			throw new InvariantViolationException("entry " + this.index + " reverted from version "
+					+ this.highestVersion + " to " + configuration.version());
 		}
 		this.highestVersion = configuration.version();
 		this.selector.use(configuration);
@@ -202,15 +203,16 @@
 	}
 
 	/**
-	 * One connection of a caller; what is sent on one that was closed reaches nobody.
+	 * Connection of a caller; output sent after it was closed is dropped.
 	 *
-	 * @param call the caller's request
-	 * @param tries counts the connections for it
+	 * @param call the call that uses the connection
+	 * @param connectionCount the number of connections of the call when this one was
+	 * opened
 	 */
-	private record Connection(FakeCall call, int tries) {
+	private record Connection(FakeCall call, int connectionCount) {
 
 		boolean isOpen() {
-			return this.call.isConnected() && this.call.tries() == this.tries;
+			return this.call.isConnected() && this.call.connectionCount() == this.connectionCount;
 		}
 
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeLink.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeLink.java
@@ -5,7 +5,8 @@
 import java.util.SplittableRandom;
 
 /**
- * A connection between an entry and a sidecar: in order, never twice, until it breaks.
+ * Connection between an entry and a sidecar that delivers messages in order and at most
+ * once until it breaks.
  */
 final class FakeLink {
 
@@ -61,98 +62,98 @@
 		}));
 	}
 
-	void cut(boolean sidecarWay, boolean entryWay) {
-		this.toSidecar.stalled = sidecarWay;
-		this.toEntry.stalled = entryWay;
+	void stall(boolean stallToSidecar, boolean stallToEntry) {
+		this.toSidecar.stalled = stallToSidecar;
+		this.toEntry.stalled = stallToEntry;
 	}
 
-	void mend() {
-		this.toSidecar.release();
-		this.toEntry.release();
+	void restore() {
+		this.toSidecar.resume();
+		this.toEntry.resume();
 	}
 
-	boolean isCut() {
+	boolean isStalled() {
 		return this.toSidecar.stalled || this.toEntry.stalled;
 	}
 
-	// The entry hears of it soon; the sidecar up to seconds later, and some messages
-	// under way still reach it.
-	void breakOff() {
+	// The entry is notified soon, the sidecar up to seconds later; some messages in
+	// flight may still reach the sidecar.
+	void breakConnection() {
 		if (this.broken) {
 			return;
 		}
 		this.broken = true;
-		this.toEntry.lose();
+		this.toEntry.discard();
 		if (this.random.nextBoolean()) {
-			this.toSidecar.lose();
+			this.toSidecar.discard();
 		}
 		else {
-			this.toSidecar.release();
-			this.toSidecar.slow = this.random.nextInt(2_000);
+			this.toSidecar.resume();
+			this.toSidecar.delayMillis = this.random.nextInt(2_000);
 		}
-		this.time.after(this.random.nextInt(200), () -> this.entry.run(() -> this.entry.linkLost(this)));
-		this.time.after(this.random.nextInt(3_000), () -> {
-			this.toSidecar.lose();
+		this.time.schedule(this.random.nextInt(200), () -> this.entry.run(() -> this.entry.linkLost(this)));
+		this.time.schedule(this.random.nextInt(3_000), () -> {
+			this.toSidecar.discard();
 			this.sidecar.run(() -> this.sidecar.linkLost(this));
 		});
 	}
 
 	/**
-	 * One direction of the connection.
+	 * One direction of the link.
 	 */
 	private final class Direction {
 
-		private final Deque<Runnable> waiting = new ArrayDeque<>();
+		private final Deque<Runnable> pending = new ArrayDeque<>();
 
-		private long lastAt;
+		private long lastArrivalAt;
 
-		private long slow;
+		private long delayMillis;
 
 		private boolean stalled;
 
-		private boolean lost;
+		private boolean discarded;
 
-		private int due;
+		private int stalledArrivals;
 
 		void send(Runnable delivery) {
-			if (this.lost || FakeLink.this.broken) {
+			if (this.discarded || FakeLink.this.broken) {
 				return;
 			}
-			this.waiting.add(delivery);
+			this.pending.add(delivery);
 			long now = FakeLink.this.time.now();
-			this.lastAt = Math.max(this.lastAt, now + 1 + FakeLink.this.random.nextInt(3));
-			FakeLink.this.time.after(this.lastAt - now, this::arrive);
+			this.lastArrivalAt = Math.max(this.lastArrivalAt, now + 1 + FakeLink.this.random.nextInt(3));
+			FakeLink.this.time.schedule(this.lastArrivalAt - now, this::arrive);
 		}
 
-		void release() {
+		void resume() {
 			this.stalled = false;
-			int count = this.due;
-			this.due = 0;
+			int count = this.stalledArrivals;
+			this.stalledArrivals = 0;
 			for (int i = 0; i < count; i++) {
 				arrive();
 			}
 		}
 
-		void lose() {
-			this.lost = true;
-			this.waiting.clear();
+		void discard() {
+			this.discarded = true;
+			this.pending.clear();
 		}
 
 		private void arrive() {
 			if (this.stalled) {
-				this.due++;
+				this.stalledArrivals++;
 				return;
 			}
-			Runnable delivery = this.waiting.poll();
+			Runnable delivery = this.pending.poll();
 			if (delivery == null) {
 				return;
 			}
-			if (this.slow == 0) {
+			if (this.delayMillis == 0) {
 				delivery.run();
 				return;
 			}
-			FakeLink.this.time.after(this.slow, () -> {
-				if (!this.lost) {
+			FakeLink.this.time.schedule(this.delayMillis, () -> {
+				if (!this.discarded) {
 					delivery.run();
 				}
 			});
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeProcess.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeProcess.java
@@ -4,45 +4,45 @@
 import java.util.Deque;
 
 /**
- * A process that can die, and can be paused and wake up late with all that came
- * meanwhile.
+ * Process that can be terminated or paused; inputs that arrive during a pause are handled
+ * after it.
  */
 abstract class FakeProcess {
 
-	private static final long TICK_MILLIS = 20;
+	private static final long TICK_INTERVAL_MILLIS = 20;
 
 	private final VirtualTime time;
 
-	private final Deque<Runnable> whilePaused = new ArrayDeque<>();
+	private final Deque<Runnable> deferredInputs = new ArrayDeque<>();
 
-	private boolean dead;
+	private boolean terminated;
 
 	private long pausedUntil;
 
 	FakeProcess(VirtualTime time) {
 		this.time = time;
-		time.after(TICK_MILLIS, this::tickOn);
+		time.schedule(TICK_INTERVAL_MILLIS, this::tickPeriodically);
 	}
 
 	abstract void tick(long now);
 
 	final void run(Runnable input) {
-		if (this.dead) {
+		if (this.terminated) {
 			return;
 		}
 		if (isPaused()) {
-			this.whilePaused.add(input);
+			this.deferredInputs.add(input);
 			return;
 		}
 		input.run();
 	}
 
-	final void die() {
-		this.dead = true;
+	final void terminate() {
+		this.terminated = true;
 	}
 
-	final boolean isDead() {
-		return this.dead;
+	final boolean isTerminated() {
+		return this.terminated;
 	}
 
 	final boolean isPaused() {
@@ -51,23 +51,23 @@
 
 	final void pause(long millis) {
 		this.pausedUntil = Math.max(this.pausedUntil, this.time.now() + millis);
-		this.time.after(millis, this::wake);
+		this.time.schedule(millis, this::runDeferredInputs);
 	}
 
-	private void wake() {
-		while (!isPaused() && !this.dead && !this.whilePaused.isEmpty()) {
-			this.whilePaused.poll().run();
+	private void runDeferredInputs() {
+		while (!isPaused() && !this.terminated && !this.deferredInputs.isEmpty()) {
+			this.deferredInputs.poll().run();
 		}
 	}
 
-	private void tickOn() {
-		if (this.dead) {
+	private void tickPeriodically() {
+		if (this.terminated) {
 			return;
 		}
 		if (!isPaused()) {
 			tick(this.time.now());
 		}
-		this.time.after(TICK_MILLIS, this::tickOn);
+		this.time.schedule(TICK_INTERVAL_MILLIS, this::tickPeriodically);
 	}
 
 }
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -25,11 +25,11 @@
 import dev.laneworks.core.retry.Backoff;
 
 /**
- * A sidecar's decisions over fake links and a fake engine.
+ * Sidecar that runs the core's generation host over fake links and a fake engine.
  */
 final class FakeSidecar extends FakeProcess implements HostOutputs {
 
-	private static final long TO_ENGINE_MILLIS = 3;
+	private static final long ENGINE_DELAY_MILLIS = 3;
 
 	private static final long PEERS_SUFFICE_MILLIS = 3_000;
 
@@ -38,7 +38,7 @@
 
 	private final VirtualTime time;
 
-	private final World world;
+	private final FakeCluster cluster;
 
 	private final int index;
 
@@ -58,26 +58,26 @@
 
 	private long highestVersion;
 
-	private boolean stopping;
+	private boolean draining;
 
-	private KeyQuestion keyQuestion;
+	private KeyRevocation keyRevocation;
 
-	FakeSidecar(VirtualTime time, SplittableRandom random, World world, int index, long incarnation, FakeEngine engine,
-			FakePlatform platform) {
+	FakeSidecar(VirtualTime time, SplittableRandom random, FakeCluster cluster, int index, long incarnation,
+			FakeEngine engine, FakeConfigurationService configurationService) {
 		super(time);
 		this.time = time;
-		this.world = world;
+		this.cluster = cluster;
 		this.index = index;
 		this.incarnation = incarnation;
 		this.engine = engine;
 		ConfigurationLedger ledger = new ConfigurationLedger();
-		KeyGuard guard = new KeyGuard(World.targetName(index), incarnation, time.now(), this.views);
-		this.host = new GenerationHost(World.targetName(index), incarnation, SETTINGS, guard, ledger,
+		KeyGuard guard = new KeyGuard(FakeCluster.targetName(index), incarnation, time.now(), this.views);
+		this.host = new GenerationHost(FakeCluster.targetName(index), incarnation, SETTINGS, guard, ledger,
 				new LearnedLengthModel(64, 64), this, (e) -> {
 				}, time.now());
 		Backoff backoff = new Backoff(Duration.ofMillis(50), Duration.ofSeconds(1), random);
-		ConfigurationKeeper keeper = new ConfigurationKeeper(ledger, platform, backoff, PEERS_SUFFICE_MILLIS,
-				(t) -> run(() -> t.accept(time.now())), this::inForce, (e) -> {
+		ConfigurationKeeper keeper = new ConfigurationKeeper(ledger, configurationService, backoff,
+				PEERS_SUFFICE_MILLIS, (t) -> run(() -> t.accept(time.now())), this::applyConfiguration, (e) -> {
 				});
 		keeper.setWatcher(index == 0);
 		this.exchange = new ConfigurationExchange(keeper, (m) -> this.links.values().forEach((l) -> send(l, m)), false);
@@ -95,17 +95,17 @@
 		return this.exchange.keeper().ledger().version();
 	}
 
-	boolean isReadyToEnd() {
-		return this.stopping && this.host.isIdle(this.time.now());
+	boolean isDrained() {
+		return this.draining && this.host.isIdle(this.time.now());
 	}
 
-	void leave() {
-		this.stopping = true;
-		this.host.leave("planned stop", this.time.now());
+	void drain() {
+		this.draining = true;
+		this.host.leave("graceful shutdown", this.time.now());
 		this.links.keySet().forEach((l) -> send(l, new SidecarMessage.Load(this.host.load())));
 	}
 
-	void farewell() {
+	void announceShutdown() {
 		this.host.end();
 		this.links.keySet().forEach((l) -> send(l, new SidecarMessage.Farewell()));
 	}
@@ -132,12 +132,12 @@
 		this.exchange.onMessage("entry", message, (m) -> send(link, m), this.time.now());
 	}
 
-	BarOutcome askAboutKey(OnceKey key) {
-		KeyQuestion question = new KeyQuestion();
-		this.keyQuestion = question;
-		this.host.onMessage(KeyQuestion.LINK, new EntryMessage.BarKey(key), this.time.now());
-		this.keyQuestion = null;
-		return question.outcome;
+	BarOutcome revokeKey(OnceKey key) {
+		KeyRevocation revocation = new KeyRevocation();
+		this.keyRevocation = revocation;
+		this.host.onMessage(KeyRevocation.LINK, new EntryMessage.BarKey(key), this.time.now());
+		this.keyRevocation = null;
+		return revocation.outcome;
 	}
 
 	@Override
@@ -152,54 +152,54 @@
 
 	@Override
 	public void send(long link, SidecarMessage message) {
-		if (link == KeyQuestion.LINK && message instanceof SidecarMessage.KeyBarResult result) {
-			this.keyQuestion.outcome = result.outcome();
+		if (link == KeyRevocation.LINK && message instanceof SidecarMessage.KeyBarResult result) {
+			this.keyRevocation.outcome = result.outcome();
 			return;
 		}
-		FakeLink open = this.links.get(link);
-		if (open != null) {
-			open.sendToEntry(() -> open.entry().onMessage(this.index, message));
+		FakeLink openLink = this.links.get(link);
+		if (openLink != null) {
+			openLink.sendToEntry(() -> openLink.entry().onMessage(this.index, message));
 		}
 	}
 
 	@Override
 	public void start(String generation, Work work) {
 		if (this.host.isLeaving()) {
-			throw new PromiseBrokenException("a leaving target was given new work: " + generation);
+			throw new InvariantViolationException("a draining target started a new generation: " + generation);
 		}
 		int length = Integer.parseInt(new String(work.body(), StandardCharsets.UTF_8));
-		FakeStream stream = open(generation);
-		this.time.after(TO_ENGINE_MILLIS, () -> this.engine.start(generation, length, stream));
+		FakeStream stream = openStream(generation);
+		this.time.schedule(ENGINE_DELAY_MILLIS, () -> this.engine.start(generation, length, stream));
 	}
 
 	@Override
 	public void reattach(String generation, long offset) {
-		FakeStream stream = open(generation);
-		this.time.after(TO_ENGINE_MILLIS, () -> this.engine.reattach(generation, (int) offset, stream));
+		FakeStream stream = openStream(generation);
+		this.time.schedule(ENGINE_DELAY_MILLIS, () -> this.engine.reattach(generation, (int) offset, stream));
 	}
 
 	@Override
 	public void cancel(String generation) {
 		FakeStream stream = this.streams.remove(generation);
 		if (stream != null) {
-			stream.abandon();
+			stream.detach();
 		}
-		this.time.after(TO_ENGINE_MILLIS, () -> this.engine.cancel(generation));
+		this.time.schedule(ENGINE_DELAY_MILLIS, () -> this.engine.cancel(generation));
 	}
 
 	@Override
 	public void pause(String generation) {
-		throw new IllegalStateException("memory is not watched here");
+		throw new IllegalStateException("the fuzz tool does not limit memory");
 	}
 
 	@Override
 	public void resume(String generation) {
-		throw new IllegalStateException("memory is not watched here");
+		throw new IllegalStateException("the fuzz tool does not limit memory");
 	}
 
 	@Override
 	public void lookUp(String generation) {
-		this.time.after(TO_ENGINE_MILLIS, () -> {
+		this.time.schedule(ENGINE_DELAY_MILLIS, () -> {
 			boolean found = this.engine.holds(generation);
 			run(() -> this.host.onLookUp(generation, found, this.time.now()));
 		});
@@ -207,13 +207,14 @@
 
 	@Override
 	public void askHome(String home, OnceKey key) {
-		this.world.askHome(this, home, key, (o) -> run(() -> this.host.onHomeAnswer(home, key, o, this.time.now())));
+		this.cluster.revokeKeyAtHome(this, home, key,
+				(o) -> run(() -> this.host.onHomeAnswer(home, key, o, this.time.now())));
 	}
 
-	private void inForce(FleetConfiguration configuration) {
+	private void applyConfiguration(FleetConfiguration configuration) {
 		if (configuration.version() <= this.highestVersion) {
-			throw new PromiseBrokenException("sidecar " + this.index + " went back from version " + this.highestVersion
-					+ " to " + configuration.version());
+			throw new InvariantViolationException("sidecar " + this.index + " reverted from version "
+					+ this.highestVersion + " to " + configuration.version());
 		}
 		this.highestVersion = configuration.version();
 		this.views.record(configuration.targets(), this.time.now());
@@ -224,19 +225,19 @@
 		link.sendToEntry(() -> link.entry().onMessage(link, message));
 	}
 
-	private FakeStream open(String generation) {
+	private FakeStream openStream(String generation) {
 		FakeStream stream = new FakeStream(this.time, this, this.host, generation);
 		FakeStream old = this.streams.put(generation, stream);
 		if (old != null) {
-			old.abandon();
+			old.detach();
 		}
 		return stream;
 	}
 
 	/**
-	 * A question of another sidecar under way.
+	 * Revocation of a key that another sidecar requested.
 	 */
-	private static final class KeyQuestion {
+	private static final class KeyRevocation {
 
 		private static final long LINK = -1;
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeStream.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeStream.java
@@ -5,11 +5,11 @@
 import dev.laneworks.core.message.FinishReason;
 
 /**
- * One response of an engine on its way to a sidecar.
+ * Response stream from an engine to a sidecar.
  */
 final class FakeStream {
 
-	private static final long WAY_MILLIS = 1;
+	private static final long DELIVERY_DELAY_MILLIS = 1;
 
 	private final VirtualTime time;
 
@@ -19,7 +19,7 @@
 
 	private final String name;
 
-	private boolean abandoned;
+	private boolean detached;
 
 	FakeStream(VirtualTime time, FakeProcess process, GenerationHost host, String name) {
 		this.time = time;
@@ -28,8 +28,8 @@
 		this.name = name;
 	}
 
-	void abandon() {
-		this.abandoned = true;
+	void detach() {
+		this.detached = true;
 	}
 
 	void chunk(int offset, byte[] data) {
@@ -45,8 +45,8 @@
 	}
 
 	private void deliver(Runnable event) {
-		this.time.after(WAY_MILLIS, () -> this.process.run(() -> {
-			if (!this.abandoned) {
+		this.time.schedule(DELIVERY_DELAY_MILLIS, () -> this.process.run(() -> {
+			if (!this.detached) {
 				event.run();
 			}
 		}));
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FuzzAction.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FuzzAction.java
@@ -4,221 +4,223 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
 /**
- * One input of a trace, written as one JSON object a line whose member {@code do} names
- * it.
+ * Input of a trace, written as one JSON object per line whose member {@code do} names its
+ * kind.
  * <p>
- * Processes are named by their index; an index beyond the last wraps around, so that any
- * trace is valid.
+ * Processes, calls, keys and tickets are identified by index. Indexes of processes and
+ * calls wrap around, so that every generated trace is valid.
  *
  * @since 0.1
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "do")
 @JsonSubTypes({ @JsonSubTypes.Type(value = FuzzAction.Advance.class, name = "advance"),
-		@JsonSubTypes.Type(value = FuzzAction.Ask.class, name = "ask"),
-		@JsonSubTypes.Type(value = FuzzAction.AskOnce.class, name = "ask-once"),
-		@JsonSubTypes.Type(value = FuzzAction.AskWithTicket.class, name = "ask-with-ticket"),
-		@JsonSubTypes.Type(value = FuzzAction.Leave.class, name = "caller-leaves"),
-		@JsonSubTypes.Type(value = FuzzAction.ComeBack.class, name = "caller-comes-back"),
+		@JsonSubTypes.Type(value = FuzzAction.Submit.class, name = "ask"),
+		@JsonSubTypes.Type(value = FuzzAction.SubmitOnce.class, name = "ask-once"),
+		@JsonSubTypes.Type(value = FuzzAction.SubmitWithTicket.class, name = "ask-with-ticket"),
+		@JsonSubTypes.Type(value = FuzzAction.CallerDisconnect.class, name = "caller-leaves"),
+		@JsonSubTypes.Type(value = FuzzAction.CallerResume.class, name = "caller-comes-back"),
 		@JsonSubTypes.Type(value = FuzzAction.KillEntry.class, name = "kill-entry"),
 		@JsonSubTypes.Type(value = FuzzAction.KillSidecar.class, name = "kill-sidecar"),
 		@JsonSubTypes.Type(value = FuzzAction.KillEngine.class, name = "kill-engine"),
-		@JsonSubTypes.Type(value = FuzzAction.FreezeEntry.class, name = "freeze-entry"),
-		@JsonSubTypes.Type(value = FuzzAction.FreezeSidecar.class, name = "freeze-sidecar"),
+		@JsonSubTypes.Type(value = FuzzAction.PauseEntry.class, name = "freeze-entry"),
+		@JsonSubTypes.Type(value = FuzzAction.PauseSidecar.class, name = "freeze-sidecar"),
 		@JsonSubTypes.Type(value = FuzzAction.DropLink.class, name = "drop-link"),
-		@JsonSubTypes.Type(value = FuzzAction.CutLink.class, name = "cut-link"),
+		@JsonSubTypes.Type(value = FuzzAction.StallLink.class, name = "cut-link"),
 		@JsonSubTypes.Type(value = FuzzAction.StopSidecar.class, name = "stop-sidecar"),
 		@JsonSubTypes.Type(value = FuzzAction.Publish.class, name = "publish"),
-		@JsonSubTypes.Type(value = FuzzAction.PublishBad.class, name = "publish-bad"),
+		@JsonSubTypes.Type(value = FuzzAction.PublishInvalid.class, name = "publish-bad"),
 		@JsonSubTypes.Type(value = FuzzAction.ServiceDown.class, name = "service-down"),
 		@JsonSubTypes.Type(value = FuzzAction.ServiceStale.class, name = "service-stale"),
 		@JsonSubTypes.Type(value = FuzzAction.Expect.class, name = "expect") })
 public sealed interface FuzzAction {
 
 	/**
-	 * Lets time pass.
+	 * Advances the virtual time.
 	 *
-	 * @param millis how much, in milliseconds
+	 * @param millis the time to advance in milliseconds
 	 */
 	record Advance(int millis) implements FuzzAction {
 
 	}
 
 	/**
-	 * A caller asks for a generation.
+	 * Submits a request for a generation.
 	 *
-	 * @param entry which entry
-	 * @param length the length of the output
-	 * @param repeatable whether it may run more than once
-	 * @param priority higher goes first; 0 is overnight work
+	 * @param entry the index of the entry
+	 * @param length the length of the output in tokens
+	 * @param repeatable whether the request may run more than once
+	 * @param priority the priority, where a higher value is served first and 0 is batch
+	 * work
 	 */
-	record Ask(int entry, int length, boolean repeatable, int priority) implements FuzzAction {
+	record Submit(int entry, int length, boolean repeatable, int priority) implements FuzzAction {
 
 	}
 
 	/**
-	 * A caller asks, or asks again, for a generation that must run at most once, under a
-	 * key of its own.
+	 * Submits, or submits again, a request that must run at most once, under a key chosen
+	 * by the caller.
 	 *
-	 * @param entry which entry
-	 * @param key which key
-	 * @param length the length of the output
+	 * @param entry the index of the entry
+	 * @param key the index of the key
+	 * @param length the length of the output in tokens
 	 */
-	record AskOnce(int entry, int key, int length) implements FuzzAction {
+	record SubmitOnce(int entry, int key, int length) implements FuzzAction {
 
 	}
 
 	/**
-	 * A caller asks, or asks again, for a generation that must run at most once, under a
-	 * ticket.
+	 * Submits, or submits again, a request that must run at most once, under a ticket.
 	 *
-	 * @param entry which entry
-	 * @param ticket which ticket; made at its first use
-	 * @param length the length of the output
+	 * @param entry the index of the entry
+	 * @param ticket the index of the ticket, which is created at its first use
+	 * @param length the length of the output in tokens
 	 */
-	record AskWithTicket(int entry, int ticket, int length) implements FuzzAction {
+	record SubmitWithTicket(int entry, int ticket, int length) implements FuzzAction {
 
 	}
 
 	/**
-	 * The connection of a caller breaks.
+	 * Breaks the connection of a caller.
 	 *
-	 * @param call which call, in the order in which they were made
+	 * @param call the index of the call, in order of submission
 	 */
-	record Leave(int call) implements FuzzAction {
+	record CallerDisconnect(int call) implements FuzzAction {
 
 	}
 
 	/**
-	 * A caller whose connection or entry was lost goes on from its last event.
+	 * Resumes a call after its last received event, for a caller whose connection or
+	 * entry was lost.
 	 *
-	 * @param call which call, in the order in which they were made
-	 * @param entry which entry
+	 * @param call the index of the call, in order of submission
+	 * @param entry the index of the entry
 	 */
-	record ComeBack(int call, int entry) implements FuzzAction {
+	record CallerResume(int call, int entry) implements FuzzAction {
 
 	}
 
 	/**
-	 * An entry dies and another takes its place.
+	 * Kills an entry and replaces it.
 	 *
-	 * @param entry which entry
+	 * @param entry the index of the entry
 	 */
 	record KillEntry(int entry) implements FuzzAction {
 
 	}
 
 	/**
-	 * A sidecar dies and another takes its place.
+	 * Kills a sidecar and replaces it.
 	 *
-	 * @param sidecar which sidecar
+	 * @param sidecar the index of the sidecar
 	 */
 	record KillSidecar(int sidecar) implements FuzzAction {
 
 	}
 
 	/**
-	 * An engine dies and another takes its place.
+	 * Crashes an engine, which restarts without its generations.
 	 *
-	 * @param engine which engine
+	 * @param engine the index of the engine
 	 */
 	record KillEngine(int engine) implements FuzzAction {
 
 	}
 
 	/**
-	 * An entry is paused.
+	 * Pauses an entry.
 	 *
-	 * @param entry which entry
-	 * @param millis for how long, in milliseconds
+	 * @param entry the index of the entry
+	 * @param millis the duration in milliseconds
 	 */
-	record FreezeEntry(int entry, int millis) implements FuzzAction {
+	record PauseEntry(int entry, int millis) implements FuzzAction {
 
 	}
 
 	/**
-	 * A sidecar is paused.
+	 * Pauses a sidecar.
 	 *
-	 * @param sidecar which sidecar
-	 * @param millis for how long, in milliseconds
+	 * @param sidecar the index of the sidecar
+	 * @param millis the duration in milliseconds
 	 */
-	record FreezeSidecar(int sidecar, int millis) implements FuzzAction {
+	record PauseSidecar(int sidecar, int millis) implements FuzzAction {
 
 	}
 
 	/**
-	 * A link breaks; the sidecar may hear of it much later than the entry, and of old
-	 * messages later still.
+	 * Breaks a link. The sidecar may be notified much later than the entry and may still
+	 * receive delayed messages.
 	 *
-	 * @param entry which entry
-	 * @param sidecar which sidecar
+	 * @param entry the index of the entry
+	 * @param sidecar the index of the sidecar
 	 */
 	record DropLink(int entry, int sidecar) implements FuzzAction {
 
 	}
 
 	/**
-	 * A link stalls, in one direction or both.
+	 * Stalls a link in one direction or both.
 	 *
-	 * @param entry which entry
-	 * @param sidecar which sidecar
-	 * @param toSidecar whether messages to the sidecar stall
-	 * @param toEntry whether messages to the entry stall
-	 * @param millis for how long, in milliseconds
+	 * @param entry the index of the entry
+	 * @param sidecar the index of the sidecar
+	 * @param toSidecar whether messages to the sidecar are delayed
+	 * @param toEntry whether messages to the entry are delayed
+	 * @param millis the duration in milliseconds
 	 */
-	record CutLink(int entry, int sidecar, boolean toSidecar, boolean toEntry, int millis) implements FuzzAction {
+	record StallLink(int entry, int sidecar, boolean toSidecar, boolean toEntry, int millis) implements FuzzAction {
 
 	}
 
 	/**
-	 * A sidecar is told to leave; once it has ended another takes its place.
+	 * Shuts a sidecar down gracefully and replaces it once it has terminated.
 	 *
-	 * @param sidecar which sidecar
+	 * @param sidecar the index of the sidecar
 	 */
 	record StopSidecar(int sidecar) implements FuzzAction {
 
 	}
 
 	/**
-	 * The platform publishes a configuration without one of the targets, or with all of
-	 * them.
+	 * Publishes a configuration without one of the targets, or with all of them.
 	 *
-	 * @param without which target is left out; none if it is beyond the last
+	 * @param without the index of the omitted target, modulo the number of targets plus
+	 * one, where the last value omits none
 	 */
 	record Publish(int without) implements FuzzAction {
 
 	}
 
 	/**
-	 * The platform publishes a document that is void.
+	 * Publishes an invalid configuration document.
 	 */
-	record PublishBad() implements FuzzAction {
+	record PublishInvalid() implements FuzzAction {
 
 	}
 
 	/**
-	 * The configuration service answers nothing.
+	 * Makes the configuration service unavailable.
 	 *
-	 * @param millis for how long, in milliseconds
+	 * @param millis the duration in milliseconds
 	 */
 	record ServiceDown(int millis) implements FuzzAction {
 
 	}
 
 	/**
-	 * The configuration service answers with what it held when this began.
+	 * Makes the configuration service return the document that was current at the start
+	 * of the period.
 	 *
-	 * @param millis for how long, in milliseconds
+	 * @param millis the duration in milliseconds
 	 */
 	record ServiceStale(int millis) implements FuzzAction {
 
 	}
 
 	/**
-	 * States how a call must have ended by now.
+	 * Requires that a call has one of the given outcomes by now.
 	 *
-	 * @param call which call, in the order in which they were made
+	 * @param call the index of the call, in order of submission
 	 * @param outcome {@code whole}, {@code not-run}, {@code may-have-run}, {@code ran},
-	 * {@code open} or {@code entry-died}; several separated by a bar
+	 * {@code open} or {@code entry-died}; alternatives are separated by {@code |}
 	 */
 	record Expect(int call, String outcome) implements FuzzAction {
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FuzzCommand.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FuzzCommand.java
@@ -14,13 +14,14 @@
 import joptsimple.OptionSpec;
 
 /**
- * Plays many made traces, or recorded ones, and prints the first that breaks a promise.
+ * Command that plays generated or recorded traces and prints the first generated trace
+ * that violates an invariant, shortened.
  *
  * @since 0.1
  */
 public final class FuzzCommand implements ProgramCommand {
 
-	private static final int PROGRESS_EVERY = 500;
+	private static final int PROGRESS_INTERVAL = 500;
 
 	@Override
 	public String name() {
@@ -29,7 +30,7 @@
 
 	@Override
 	public String summary() {
-		return "[--seeds N] [--from SEED] [TRACE…]  play made traces, or recorded ones";
+		return "[--seeds N] [--from SEED] [TRACE…]  play generated or recorded traces";
 	}
 
 	@Override
@@ -57,17 +58,17 @@
 			try {
 				trace.play();
 			}
-			catch (PromiseBrokenException ex) {
+			catch (InvariantViolationException ex) {
 				err.println("seed " + trace.seed() + ": " + ex.getMessage());
-				err.println("the shortest trace found that breaks a promise:");
+				err.println("the shortest trace found that violates an invariant:");
 				trace.shrink().write().forEach(err::println);
 				return ExitCode.FAILED;
 			}
-			if ((i + 1) % PROGRESS_EVERY == 0) {
+			if ((i + 1) % PROGRESS_INTERVAL == 0) {
 				out.println((i + 1) + " of " + seeds + " traces played");
 			}
 		}
-		out.println(seeds + " traces played from seed " + from + ", no promise broken");
+		out.println(seeds + " traces played from seed " + from + ", no invariant violated");
 		return ExitCode.OK;
 	}
 
@@ -76,15 +77,15 @@
 		for (String file : files) {
 			try {
 				FuzzTrace trace = FuzzTrace.read(Files.readAllLines(Path.of(file)));
-				World world = trace.play();
+				FakeCluster cluster = trace.play();
 				out.println(file + ": holds");
-				world.outcomes().forEach((o) -> out.println("  " + o));
+				cluster.outcomes().forEach((o) -> out.println("  " + o));
 			}
 			catch (IOException | IllegalArgumentException ex) {
 				err.println(file + ": " + ex.getMessage());
 				return ExitCode.USAGE;
 			}
-			catch (PromiseBrokenException ex) {
+			catch (InvariantViolationException ex) {
 				err.println(file + ": " + ex.getMessage());
 				code = ExitCode.FAILED;
 			}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FuzzTrace.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FuzzTrace.java
@@ -10,14 +10,14 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * Inputs to a world, made from a seed or recorded.
+ * Sequence of inputs to a {@link FakeCluster}, generated from a seed or recorded.
  * <p>
- * Recorded, a trace is lines of JSON: first {@code {"seed": …, "about": …}}, then one
- * input a line. Lines that begin with {@code //} are comments.
+ * A recorded trace consists of lines of JSON: first {@code {"seed": …, "about": …}}, then
+ * one input per line. Blank lines and lines that begin with {@code //} are ignored.
  *
- * @param seed decides delays and losses
- * @param about what the trace shows
- * @param actions the inputs
+ * @param seed the seed of random delays and losses
+ * @param about a short description of the trace
+ * @param actions the inputs in the order in which they are applied
  * @since 0.1
  */
 public record FuzzTrace(long seed, String about, List<FuzzAction> actions) {
@@ -26,66 +26,67 @@
 
 	private static final int MIN_ACTIONS = 20;
 
-	private static final int MORE_ACTIONS = 60;
+	private static final int EXTRA_ACTIONS = 60;
 
 	public FuzzTrace {
 		actions = List.copyOf(actions);
 	}
 
 	/**
-	 * Make a trace.
-	 * @param seed decides all of it
-	 * @return the trace
+	 * Create a trace from a seed.
+	 * @param seed the seed of its inputs, delays and losses
+	 * @return the same trace for the same seed
 	 */
 	public static FuzzTrace generate(long seed) {
 		SplittableRandom random = new SplittableRandom(seed);
-		int count = MIN_ACTIONS + random.nextInt(MORE_ACTIONS);
+		int count = MIN_ACTIONS + random.nextInt(EXTRA_ACTIONS);
 		List<FuzzAction> actions = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
-			actions.add(action(random));
+			actions.add(randomAction(random));
 			actions.add(new FuzzAction.Advance(random.nextInt(random.nextBoolean() ? 50 : 1_500)));
 		}
 		return new FuzzTrace(seed, "generated", actions);
 	}
 
 	/**
-	 * Make one input.
-	 * @param random the source of choices
-	 * @return the input
+	 * Create a random input.
+	 * @param random the source of random numbers
+	 * @return an input of any kind but {@link FuzzAction.Advance} and
+	 * {@link FuzzAction.Expect}
 	 */
-	public static FuzzAction action(SplittableRandom random) {
+	public static FuzzAction randomAction(SplittableRandom random) {
 		int a = random.nextInt(8);
 		int b = random.nextInt(8);
 		int millis = random.nextInt(random.nextBoolean() ? 400 : 8_000);
 		return switch (random.nextInt(26)) {
-			case 0, 1, 2, 3, 4 -> new FuzzAction.Ask(a, 1 + random.nextInt(80), random.nextBoolean(), b);
-			case 5, 6, 7, 8 -> new FuzzAction.AskOnce(a, random.nextInt(6), 1 + random.nextInt(40));
-			case 9, 10 -> new FuzzAction.AskWithTicket(a, random.nextInt(6), 1 + random.nextInt(40));
-			case 11 -> new FuzzAction.Leave(random.nextInt(100));
-			case 12, 13 -> new FuzzAction.ComeBack(random.nextInt(100), a);
+			case 0, 1, 2, 3, 4 -> new FuzzAction.Submit(a, 1 + random.nextInt(80), random.nextBoolean(), b);
+			case 5, 6, 7, 8 -> new FuzzAction.SubmitOnce(a, random.nextInt(6), 1 + random.nextInt(40));
+			case 9, 10 -> new FuzzAction.SubmitWithTicket(a, random.nextInt(6), 1 + random.nextInt(40));
+			case 11 -> new FuzzAction.CallerDisconnect(random.nextInt(100));
+			case 12, 13 -> new FuzzAction.CallerResume(random.nextInt(100), a);
 			case 14 -> new FuzzAction.KillEntry(a);
 			case 15 -> new FuzzAction.KillSidecar(a);
 			case 16 -> new FuzzAction.KillEngine(a);
-			case 17 -> new FuzzAction.FreezeEntry(a, millis);
-			case 18 -> new FuzzAction.FreezeSidecar(a, millis);
+			case 17 -> new FuzzAction.PauseEntry(a, millis);
+			case 18 -> new FuzzAction.PauseSidecar(a, millis);
 			case 19 -> new FuzzAction.DropLink(a, b);
-			case 20 -> new FuzzAction.CutLink(a, b, random.nextBoolean(), random.nextBoolean(), millis);
+			case 20 -> new FuzzAction.StallLink(a, b, random.nextBoolean(), random.nextBoolean(), millis);
 			case 21 -> new FuzzAction.StopSidecar(a);
 			case 22, 23 -> new FuzzAction.Publish(a);
-			case 24 -> random.nextBoolean() ? new FuzzAction.ServiceDown(millis) : new FuzzAction.PublishBad();
+			case 24 -> random.nextBoolean() ? new FuzzAction.ServiceDown(millis) : new FuzzAction.PublishInvalid();
 			default -> new FuzzAction.ServiceStale(millis);
 		};
 	}
 
 	/**
-	 * Read a recorded trace.
-	 * @param lines its lines
-	 * @return the trace
-	 * @throws IllegalArgumentException if a line is not an input
+	 * Parse a recorded trace.
+	 * @param lines the lines of the trace file
+	 * @return the trace with its seed and inputs
+	 * @throws IllegalArgumentException if a line is invalid or the trace has no header
 	 */
 	public static FuzzTrace read(List<String> lines) {
 		List<FuzzAction> actions = new ArrayList<>();
-		Head head = null;
+		Header header = null;
 		int number = 0;
 		for (String line : lines) {
 			number++;
@@ -93,8 +94,8 @@
 				continue;
 			}
 			try {
-				if (head == null) {
-					head = MAPPER.readValue(line, Head.class);
+				if (header == null) {
+					header = MAPPER.readValue(line, Header.class);
 				}
 				else {
 					actions.add(MAPPER.readValue(line, FuzzAction.class));
@@ -104,44 +105,46 @@
 				throw new IllegalArgumentException("line " + number + ": " + ex.getOriginalMessage(), ex);
 			}
 		}
-		if (head == null) {
+		if (header == null) {
 			throw new IllegalArgumentException("the trace is empty");
 		}
-		return new FuzzTrace(head.seed(), head.about(), actions);
+		return new FuzzTrace(header.seed(), header.about(), actions);
 	}
 
 	/**
-	 * Write the trace.
-	 * @return its lines
+	 * Format the trace for {@link #read}.
+	 * @return the lines of the trace file
 	 */
 	public List<String> write() {
 		List<String> lines = new ArrayList<>();
 		try {
-			lines.add(MAPPER.writeValueAsString(new Head(this.seed, this.about)));
+			lines.add(MAPPER.writeValueAsString(new Header(this.seed, this.about)));
 			for (FuzzAction action : this.actions) {
 				lines.add(MAPPER.writerFor(FuzzAction.class).writeValueAsString(action));
 			}
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a trace can't be written", ex);
+			throw new IllegalStateException("cannot write the trace as JSON", ex);
 		}
 		return lines;
 	}
 
 	/**
-	 * Play the trace in a new world.
-	 * @return the world at its end
-	 * @throws PromiseBrokenException if a promise was broken
+	 * Play the trace in a new cluster.
+	 * @return the cluster in its final state
+	 * @throws InvariantViolationException if an invariant does not hold during or after
+	 * the trace
 	 */
-	public World play() {
-		World world = new World(this.seed);
-		world.play(this.actions);
-		return world;
+	public FakeCluster play() {
+		FakeCluster cluster = new FakeCluster(this.seed);
+		cluster.play(this.actions);
+		return cluster;
 	}
 
 	/**
-	 * Return the shortest trace found that still breaks a promise, by leaving out inputs.
-	 * @return a trace that breaks a promise, or this one if it breaks none
+	 * Shorten the trace by omitting inputs without which it still violates an invariant.
+	 * @return the shortest violating trace found, or this trace if it violates no
+	 * invariant
 	 */
 	public FuzzTrace shrink() {
 		FuzzTrace best = this;
@@ -149,7 +152,7 @@
 		while (chunk > 0) {
 			for (int start = 0; start + chunk <= best.actions.size();) {
 				FuzzTrace shorter = best.without(start, chunk);
-				if (shorter.breaksPromise()) {
+				if (shorter.violatesInvariant()) {
 					best = shorter;
 				}
 				else {
@@ -162,22 +165,22 @@
 	}
 
 	private FuzzTrace without(int start, int count) {
-		List<FuzzAction> rest = new ArrayList<>(this.actions);
-		rest.subList(start, start + count).clear();
-		return new FuzzTrace(this.seed, this.about, rest);
+		List<FuzzAction> remaining = new ArrayList<>(this.actions);
+		remaining.subList(start, start + count).clear();
+		return new FuzzTrace(this.seed, this.about, remaining);
 	}
 
-	private boolean breaksPromise() {
+	private boolean violatesInvariant() {
 		try {
 			play();
 			return false;
 		}
-		catch (PromiseBrokenException ex) {
+		catch (InvariantViolationException ex) {
 			return true;
 		}
 	}
 
-	private record Head(long seed, String about) {
+	private record Header(long seed, String about) {
 
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/Oracle.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/Oracle.java
@@ -9,30 +9,31 @@
 import dev.laneworks.core.verdict.Verdict;
 
 /**
- * Knows what truly ran and what callers saw, and says when a promise is broken.
+ * Test oracle that records which generations ran and what callers received, and checks
+ * the invariants.
  */
 final class Oracle {
 
-	private final Map<String, Integer> runs = new HashMap<>();
+	private final Map<String, Integer> runCounts = new HashMap<>();
 
-	private final Map<String, List<Integer>> engines = new HashMap<>();
+	private final Map<String, List<Integer>> enginesByName = new HashMap<>();
 
 	private final List<FakeCall> calls = new ArrayList<>();
 
-	static byte[] token(String generation, int offset) {
+	static byte[] tokenData(String generation, int offset) {
 		return (generation + '#' + offset).getBytes(StandardCharsets.UTF_8);
 	}
 
-	void ran(String name, int engine) {
-		this.runs.merge(name, 1, Integer::sum);
-		this.engines.computeIfAbsent(name, (n) -> new ArrayList<>()).add(engine);
-		if (name.startsWith("once-") && this.runs.get(name) > 1) {
-			throw new PromiseBrokenException(
-					"a request that must not be repeated ran twice: " + name + " at engines " + this.engines.get(name));
+	void recordRun(String name, int engine) {
+		this.runCounts.merge(name, 1, Integer::sum);
+		this.enginesByName.computeIfAbsent(name, (n) -> new ArrayList<>()).add(engine);
+		if (name.startsWith("once-") && this.runCounts.get(name) > 1) {
+			throw new InvariantViolationException("a request that must not be repeated ran twice: " + name
+					+ " at engines " + this.enginesByName.get(name));
 		}
 	}
 
-	void opened(FakeCall call) {
+	void recordCall(FakeCall call) {
 		this.calls.add(call);
 	}
 
@@ -40,7 +41,7 @@
 		return this.calls;
 	}
 
-	// Called at the end of a trace, when nothing is under way any more.
+	// Called at the end of a trace, after all calls have finished.
 	void checkAll() {
 		for (FakeCall call : this.calls) {
 			checkRuns(call);
@@ -54,11 +55,11 @@
 		}
 		int count = runsOf(call.requestId());
 		if (call.verdict().filter((v) -> v == Verdict.NOT_RUN).isPresent() && count > 0) {
-			throw new PromiseBrokenException(
+			throw new InvariantViolationException(
 					"call " + call.number() + " was refused as not run but ran: " + call.cause());
 		}
 		if (!call.isRepeatable() && count > 1) {
-			throw new PromiseBrokenException(
+			throw new InvariantViolationException(
 					"call " + call.number() + " must not be repeated but ran " + count + " times");
 		}
 	}
@@ -68,13 +69,13 @@
 		boolean allNotRun = this.calls.stream()
 			.filter((c) -> c.key().equals(call.key()))
 			.allMatch((c) -> c.verdict().filter((v) -> v == Verdict.NOT_RUN).isPresent());
-		if (allNotRun && this.runs.containsKey(name)) {
-			throw new PromiseBrokenException("every try of " + name + " was refused as not run but it ran");
+		if (allNotRun && this.runCounts.containsKey(name)) {
+			throw new InvariantViolationException("every attempt of " + name + " was refused as not run but it ran");
 		}
 	}
 
 	private int runsOf(String requestId) {
-		return this.runs.entrySet()
+		return this.runCounts.entrySet()
 			.stream()
 			.filter((e) -> e.getKey().startsWith(requestId + '-'))
 			.mapToInt(Map.Entry::getValue)
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/VirtualTime.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/VirtualTime.java
@@ -4,7 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Runs tasks in the order of their times, without waiting.
+ * Scheduler that runs tasks in order of their due times on a virtual clock in
+ * milliseconds.
  */
 final class VirtualTime {
 
@@ -19,7 +20,7 @@
 		return this.now;
 	}
 
-	void after(long millis, Runnable action) {
+	void schedule(long millis, Runnable action) {
 		this.tasks.add(new Task(this.now + Math.max(0, millis), this.count++, action));
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/package-info.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stateful fuzzing of the core's decisions against an oracle that holds what must always
- * hold.
+ * Stateful fuzzing of the core's call coordinator and generation host against an oracle
+ * that checks their invariants.
  */
 package dev.laneworks.bench.fuzz;
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/path/BenchProcess.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/path/BenchProcess.java
@@ -8,13 +8,13 @@
 import java.util.List;
 
 /**
- * A program started for a measurement, with what the operating system says of its use of
- * processor and memory.
+ * Program started for a measurement, with its processor time and memory as the operating
+ * system reports them.
  */
 final class BenchProcess implements AutoCloseable {
 
-	/** The operating system counts processor time in hundredths of a second. */
-	private static final double TICKS_PER_SECOND = 100;
+	/** Unit of processor time in {@code /proc/PID/stat}. */
+	private static final double CLOCK_TICKS_PER_SECOND = 100;
 
 	private static final int USER_TICKS_FIELD = 11;
 
@@ -33,7 +33,7 @@
 				.start());
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("can't start " + command[0], ex);
+			throw new UncheckedIOException("cannot start " + command[0], ex);
 		}
 	}
 
@@ -41,7 +41,7 @@
 		String stat = read("stat");
 		String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
 		return (Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[SYSTEM_TICKS_FIELD]))
-				/ TICKS_PER_SECOND;
+				/ CLOCK_TICKS_PER_SECOND;
 	}
 
 	double residentMib() {
@@ -61,7 +61,7 @@
 			return Files.readString(Path.of("/proc", String.valueOf(this.process.pid()), file));
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("the process is gone", ex);
+			throw new UncheckedIOException("cannot read the process status; the process may have ended", ex);
 		}
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/path/LoadRun.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/path/LoadRun.java
@@ -13,13 +13,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Many callers that each read one stream after another, and what they experienced.
+ * Load of concurrent callers that each read one stream after another, with the latencies
+ * they observe.
  */
 final class LoadRun {
 
-	private static final long HIGHEST_MICROS = TimeUnit.MINUTES.toMicros(1);
+	private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(1);
 
-	private static final int DIGITS = 3;
+	private static final int SIGNIFICANT_DIGITS = 3;
 
 	private final URI uri;
 
@@ -27,9 +28,9 @@
 
 	private final String body;
 
-	private final Histogram firstToken = new Histogram(HIGHEST_MICROS, DIGITS);
+	private final Histogram firstToken = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
 
-	private final Histogram between = new Histogram(HIGHEST_MICROS, DIGITS);
+	private final Histogram tokenInterval = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
 
 	private final AtomicInteger failed = new AtomicInteger();
 
@@ -49,13 +50,13 @@
 		long start = System.nanoTime();
 		for (int i = 0; i < streams; i++) {
 			Thread thread = new Thread(() -> {
-				readAll(requestsEach);
+				sendRequests(requestsEach);
 				done.countDown();
 			}, "caller-" + i);
 			thread.setDaemon(true);
 			threads.add(thread);
 		}
-		// Spread over a step, so that not all streams share their moments.
+		// Staggers the starts, so that the streams are not synchronized.
 		for (Thread thread : threads) {
 			thread.start();
 			Thread.sleep(1);
@@ -69,8 +70,8 @@
 		return this.firstToken;
 	}
 
-	Histogram between() {
-		return this.between;
+	Histogram tokenInterval() {
+		return this.tokenInterval;
 	}
 
 	long tokens() {
@@ -89,7 +90,7 @@
 		return this.failed.get();
 	}
 
-	private void readAll(int requests) {
+	private void sendRequests(int requests) {
 		StreamClient client = new StreamClient(this.key);
 		for (int i = 0; i < requests; i++) {
 			try {
@@ -111,12 +112,12 @@
 		this.tokens += nanos.length;
 		this.firstToken.recordValue(micros(nanos[0] - result.startNanos()));
 		for (int i = 1; i < nanos.length; i++) {
-			this.between.recordValue(micros(nanos[i] - nanos[i - 1]));
+			this.tokenInterval.recordValue(micros(nanos[i] - nanos[i - 1]));
 		}
 	}
 
 	private static long micros(long nanos) {
-		return Math.min(HIGHEST_MICROS, Math.max(0, nanos / 1_000));
+		return Math.min(MAX_MICROS, Math.max(0, nanos / 1_000));
 	}
 
 }
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/path/package-info.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/path/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Measures the path from a caller to an engine, with and without the system between them.
+ * Measurement of latency and processor time of requests that reach an engine directly and
+ * through entry and sidecar.
  */
 package dev.laneworks.bench.path;
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Arrival.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Arrival.java
@@ -1,16 +1,16 @@
 package dev.laneworks.bench.policy;
 
 /**
- * A request of a trace; its length is known to nobody but the engine, and to the
- * clairvoyant.
+ * Request of a trace; the length of its output is hidden from every policy but the
+ * clairvoyant one.
  *
- * @param atMillis when it comes
+ * @param atMillis the arrival time in milliseconds since the start of the trace
  * @param account the client account
- * @param priority higher goes first
- * @param promptTokens the tokens of its prompt
- * @param length the tokens of its output
- * @param patienceMillis how long its caller waits for the first token
+ * @param priority the priority, where a higher value is served first
+ * @param promptTokens the length of the prompt in tokens
+ * @param length the length of the output in tokens
+ * @param timeoutMillis the longest wait of the caller for the first token in milliseconds
  */
-record Arrival(long atMillis, String account, int priority, int promptTokens, int length, long patienceMillis) {
+record Arrival(long atMillis, String account, int priority, int promptTokens, int length, long timeoutMillis) {
 
 }
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Baselines.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Baselines.java
@@ -4,33 +4,34 @@
 import java.util.Deque;
 
 /**
- * The policies to compare with.
+ * Factory methods for the baseline policies that the core is compared with.
  */
 final class Baselines {
 
 	private Baselines() {
 	}
 
-	// Engines in turn, each of which admits all.
+	// Assign requests to engines in turn and start each at once.
 	static Policy roundRobin(Replay replay) {
-		return new Simple(replay, Integer.MAX_VALUE, true);
+		return new CountingPolicy(replay, Integer.MAX_VALUE, true);
 	}
 
-	// The engine with the fewest requests, each of which runs a fixed number at most.
-	static Policy leastOutstanding(Replay replay, int cap) {
-		return new Simple(replay, cap, false);
+	// Assign each request to the engine with the fewest requests; each engine runs a
+	// limited number of them at a time.
+	static Policy leastOutstanding(Replay replay, int maxRunning) {
+		return new CountingPolicy(replay, maxRunning, false);
 	}
 
 	/**
-	 * Counts requests and nothing else.
+	 * Policy that considers only the number of requests at each engine.
 	 */
-	private static final class Simple implements Policy {
+	private static final class CountingPolicy implements Policy {
 
 		private final Replay replay;
 
-		private final int cap;
+		private final int maxRunning;
 
-		private final boolean inTurn;
+		private final boolean rotate;
 
 		private final int[] outstanding;
 
@@ -39,10 +40,10 @@
 		private final Deque<Integer>[] queues;
 
 		@SuppressWarnings("unchecked")
-		Simple(Replay replay, int cap, boolean inTurn) {
+		CountingPolicy(Replay replay, int maxRunning, boolean rotate) {
 			this.replay = replay;
-			this.cap = cap;
-			this.inTurn = inTurn;
+			this.maxRunning = maxRunning;
+			this.rotate = rotate;
 			this.outstanding = new int[replay.engineCount()];
 			this.running = new int[replay.engineCount()];
 			this.queues = new Deque[replay.engineCount()];
@@ -52,20 +53,20 @@
 		}
 
 		@Override
-		public void arrive(int number, Arrival arrival, long nowMillis) {
-			int engine = this.inTurn ? number % this.outstanding.length : fewest();
+		public void handleArrival(int number, Arrival arrival, long nowMillis) {
+			int engine = this.rotate ? number % this.outstanding.length : leastLoaded();
 			this.outstanding[engine]++;
 			this.queues[engine].add(number);
 			admit(engine, nowMillis);
 		}
 
 		@Override
-		public void token(int engine, int number, int offset, long nowMillis) {
-			// Not looked at.
+		public void handleToken(int engine, int number, int offset, long nowMillis) {
+			// Tokens do not affect the policy.
 		}
 
 		@Override
-		public void end(int engine, int number, int total, long nowMillis) {
+		public void handleEnd(int engine, int number, int total, long nowMillis) {
 			this.outstanding[engine]--;
 			this.running[engine]--;
 			admit(engine, nowMillis);
@@ -73,18 +74,18 @@
 
 		@Override
 		public void tick(long nowMillis) {
-			// Nothing is due.
+			// The policy has no timers.
 		}
 
 		private void admit(int engine, long nowMillis) {
-			while (this.running[engine] < this.cap && !this.queues[engine].isEmpty()) {
+			while (this.running[engine] < this.maxRunning && !this.queues[engine].isEmpty()) {
 				int number = this.queues[engine].poll();
 				this.running[engine]++;
 				this.replay.start(engine, number, this.replay.trace().arrivals().get(number), nowMillis);
 			}
 		}
 
-		private int fewest() {
+		private int leastLoaded() {
 			int best = 0;
 			for (int i = 1; i < this.outstanding.length; i++) {
 				if (this.outstanding[i] < this.outstanding[best]) {
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
@@ -32,13 +32,14 @@
 import dev.laneworks.core.verdict.RefusalReason;
 
 /**
- * The core's own routing and hosts; load reports reach the one entry late.
+ * Policy that uses the core's target selector and generation hosts, with periodic load
+ * reports.
  */
 final class CorePolicy implements Policy {
 
 	private static final byte[] TOKEN = { 't' };
 
-	private static final long REPORT_MILLIS = 200;
+	private static final long REPORT_INTERVAL_MILLIS = 200;
 
 	private static final String MODEL = "m";
 
@@ -52,17 +53,17 @@
 
 	private final GenerationHost[] hosts;
 
-	private final boolean lengthsInModel;
+	private final boolean encodeLength;
 
-	private final Set<Integer> triedTwice = new HashSet<>();
+	private final Set<Integer> retried = new HashSet<>();
 
-	private long reportedAt;
+	private long lastReportAt;
 
 	private long now;
 
-	CorePolicy(Replay replay, HostSettings settings, LengthModel lengths, boolean lengthsInModel) {
+	CorePolicy(Replay replay, HostSettings settings, LengthModel lengths, boolean encodeLength) {
 		this.replay = replay;
-		this.lengthsInModel = lengthsInModel;
+		this.encodeLength = encodeLength;
 		this.selector = new DefaultTargetSelector(this.board, new TargetSubset("entry", "d", 1000, 0), "d",
 				new SplittableRandom(5));
 		this.selector.use(ConfigurationParser.parse("made", document(replay.engineCount())).get());
@@ -76,21 +77,21 @@
 	}
 
 	@Override
-	public void arrive(int number, Arrival arrival, long nowMillis) {
+	public void handleArrival(int number, Arrival arrival, long nowMillis) {
 		this.now = nowMillis;
-		send(number, arrival, Set.of());
+		dispatch(number, arrival, Set.of());
 	}
 
 	@Override
-	public void token(int engine, int number, int offset, long nowMillis) {
+	public void handleToken(int engine, int number, int offset, long nowMillis) {
 		this.now = nowMillis;
-		this.hosts[engine].onTargetChunk(name(number), offset, TOKEN, nowMillis);
+		this.hosts[engine].onTargetChunk(generationName(number), offset, TOKEN, nowMillis);
 	}
 
 	@Override
-	public void end(int engine, int number, int total, long nowMillis) {
+	public void handleEnd(int engine, int number, int total, long nowMillis) {
 		this.now = nowMillis;
-		this.hosts[engine].onTargetEnd(name(number), total, FinishReason.STOP, nowMillis);
+		this.hosts[engine].onTargetEnd(generationName(number), total, FinishReason.STOP, nowMillis);
 	}
 
 	@Override
@@ -98,46 +99,47 @@
 		this.now = nowMillis;
 		for (int i = 0; i < this.hosts.length; i++) {
 			this.hosts[i].tick(nowMillis);
-			if (nowMillis - this.reportedAt >= REPORT_MILLIS) {
+			if (nowMillis - this.lastReportAt >= REPORT_INTERVAL_MILLIS) {
 				this.board.state("t" + i).recordReport(this.hosts[i].load(), nowMillis);
 			}
 		}
-		if (nowMillis - this.reportedAt >= REPORT_MILLIS) {
-			this.reportedAt = nowMillis;
+		if (nowMillis - this.lastReportAt >= REPORT_INTERVAL_MILLIS) {
+			this.lastReportAt = nowMillis;
 		}
 	}
 
-	private void send(int number, Arrival arrival, Set<String> excluded) {
+	private void dispatch(int number, Arrival arrival, Set<String> excluded) {
 		var route = this.selector.select(new RouteRequest(MODEL, INTENT, 0, excluded), this.now);
 		if (route.isEmpty()) {
-			this.replay.measured().refused();
+			this.replay.metrics().recordRefusal();
 			return;
 		}
 		String target = route.get().target().name();
 		this.board.state(target).recordSent();
-		String model = this.lengthsInModel ? MODEL + arrival.length() : MODEL;
+		String model = this.encodeLength ? MODEL + arrival.length() : MODEL;
 		Work work = new Work(String.valueOf(number), WorkKind.COMPLETION, arrival.account(), model, "POST", "/",
 				new byte[0], arrival.priority(), true, Optional.empty(), arrival.promptTokens(), 65_536,
-				arrival.patienceMillis());
+				arrival.timeoutMillis());
 		this.hosts[Integer.parseInt(target.substring(1))].onMessage(number,
 				new EntryMessage.Submit(new StreamId(number, 1), work, Long.MAX_VALUE), this.now);
 	}
 
-	// A request that was refused at the door is tried once elsewhere, as an entry would.
+	// Retry a request that was refused at admission once at another engine, as an entry
+	// does.
 	private void onRefused(int number, int engine, SidecarMessage.Refused refused) {
-		boolean atTheDoor = refused.refusal().reason() == RefusalReason.OVERLOADED;
-		if (atTheDoor && this.triedTwice.add(number)) {
-			send(number, this.replay.trace().arrivals().get(number), Set.of("t" + engine));
+		boolean refusedAtAdmission = refused.refusal().reason() == RefusalReason.OVERLOADED;
+		if (refusedAtAdmission && this.retried.add(number)) {
+			dispatch(number, this.replay.trace().arrivals().get(number), Set.of("t" + engine));
 			return;
 		}
-		this.replay.measured().refused();
+		this.replay.metrics().recordRefusal();
 	}
 
-	private static String name(int number) {
+	private static String generationName(int number) {
 		return number + "-1";
 	}
 
-	private static int number(String name) {
+	private static int requestNumber(String name) {
 		return Integer.parseInt(name.substring(0, name.indexOf('-')));
 	}
 
@@ -150,13 +152,13 @@
 	}
 
 	/**
-	 * Knows every length.
+	 * Length model with exact output lengths, which are appended to the model name.
 	 */
-	static final class Clairvoyance implements LengthModel {
+	static final class ClairvoyantLengthModel implements LengthModel {
 
 		@Override
 		public void observe(LengthClass type, long length) {
-			// There is nothing to learn.
+			// Lengths are already exact.
 		}
 
 		@Override
@@ -167,7 +169,7 @@
 	}
 
 	/**
-	 * Carries out what one host asks.
+	 * Callbacks of the host of one engine.
 	 */
 	private final class Outputs implements HostOutputs {
 
@@ -186,41 +188,41 @@
 
 		@Override
 		public void start(String generation, Work work) {
-			int number = CorePolicy.number(generation);
+			int number = CorePolicy.requestNumber(generation);
 			CorePolicy.this.replay.start(this.engine, number, CorePolicy.this.replay.trace().arrivals().get(number),
 					CorePolicy.this.now);
 		}
 
 		@Override
 		public void reattach(String generation, long offset) {
-			throw new IllegalStateException("nothing is lost here");
+			throw new IllegalStateException("the replay loses no generation");
 		}
 
 		@Override
 		public void cancel(String generation) {
-			CorePolicy.this.replay.engine(this.engine).cancel(String.valueOf(CorePolicy.number(generation)));
+			CorePolicy.this.replay.engine(this.engine).cancel(String.valueOf(CorePolicy.requestNumber(generation)));
 		}
 
 		@Override
 		public void pause(String generation) {
-			CorePolicy.this.replay.measured().preempted();
-			CorePolicy.this.replay.engine(this.engine).pause(String.valueOf(CorePolicy.number(generation)));
+			CorePolicy.this.replay.metrics().recordPreemption();
+			CorePolicy.this.replay.engine(this.engine).pause(String.valueOf(CorePolicy.requestNumber(generation)));
 		}
 
 		@Override
 		public void resume(String generation) {
 			CorePolicy.this.replay.engine(this.engine)
-				.resume(String.valueOf(CorePolicy.number(generation)), CorePolicy.this.now * 1000);
+				.resume(String.valueOf(CorePolicy.requestNumber(generation)), CorePolicy.this.now * 1000);
 		}
 
 		@Override
 		public void lookUp(String generation) {
-			throw new IllegalStateException("no keys are used here");
+			throw new IllegalStateException("the replay uses no keys");
 		}
 
 		@Override
 		public void askHome(String home, OnceKey key) {
-			throw new IllegalStateException("no keys are used here");
+			throw new IllegalStateException("the replay uses no keys");
 		}
 
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Policy.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Policy.java
@@ -1,39 +1,39 @@
 package dev.laneworks.bench.policy;
 
 /**
- * Decides which engine runs a request and when.
+ * Scheduling policy that decides at which engine and when a request starts.
  */
 interface Policy {
 
 	/**
-	 * Handle an arrival.
-	 * @param number the request's number
-	 * @param arrival the request
-	 * @param nowMillis the time
+	 * Handle the arrival of a request.
+	 * @param number the index of the request in the trace
+	 * @param arrival the arrived request
+	 * @param nowMillis the virtual time in milliseconds
 	 */
-	void arrive(int number, Arrival arrival, long nowMillis);
+	void handleArrival(int number, Arrival arrival, long nowMillis);
 
 	/**
-	 * Handle a token.
-	 * @param engine which engine
-	 * @param number the request's number
-	 * @param offset the tokens before it
-	 * @param nowMillis the time
+	 * Handle an output token.
+	 * @param engine the index of the engine
+	 * @param number the index of the request in the trace
+	 * @param offset the number of earlier tokens of the output
+	 * @param nowMillis the virtual time in milliseconds
 	 */
-	void token(int engine, int number, int offset, long nowMillis);
+	void handleToken(int engine, int number, int offset, long nowMillis);
 
 	/**
-	 * Handle an end.
-	 * @param engine which engine
-	 * @param number the request's number
-	 * @param total the tokens of the output
-	 * @param nowMillis the time
+	 * Handle the end of an output.
+	 * @param engine the index of the engine
+	 * @param number the index of the request in the trace
+	 * @param total the length of the output in tokens
+	 * @param nowMillis the virtual time in milliseconds
 	 */
-	void end(int engine, int number, int total, long nowMillis);
+	void handleEnd(int engine, int number, int total, long nowMillis);
 
 	/**
-	 * Do what is due.
-	 * @param nowMillis the time
+	 * Run the timers that are due.
+	 * @param nowMillis the virtual time in milliseconds
 	 */
 	void tick(long nowMillis);
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/PolicyCommand.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/PolicyCommand.java
@@ -17,14 +17,14 @@
 import joptsimple.OptionSpec;
 
 /**
- * Compares the core's policy with two baselines and a clairvoyant on made traces, in
- * virtual time.
+ * Command that compares the core's scheduling with two baselines and a clairvoyant policy
+ * on generated traces, in virtual time.
  *
  * @since 0.1
  */
 public final class PolicyCommand implements ProgramCommand {
 
-	private static final int[] CAPS = { 8, 12, 16, 20, 24, 32, 40, 48, 64 };
+	private static final int[] RUNNING_LIMITS = { 8, 12, 16, 20, 24, 32, 40, 48, 64 };
 
 	private static final long SEED = 11;
 
@@ -32,7 +32,7 @@
 
 	private static final int HALF_LIFE = 256;
 
-	private static final double OVERLOAD = 2;
+	private static final double OVERLOAD_FACTOR = 2;
 
 	@Override
 	public String name() {
@@ -41,7 +41,7 @@
 
 	@Override
 	public String summary() {
-		return "[--trace NAME] [--deviations D] [--ageing MS] [--high-water W] [--json]  the policy beside baselines on made traces, in virtual time";
+		return "[--trace NAME] [--deviations D] [--ageing MS] [--high-water W] [--json]  compare the policy with baselines on generated traces, in virtual time";
 	}
 
 	@Override
@@ -59,17 +59,20 @@
 			.withRequiredArg()
 			.ofType(Double.class)
 			.defaultsTo(HostSettings.defaults(0).highWater());
-		OptionSpec<String> only = parser.accepts("trace").withRequiredArg();
+		OptionSpec<String> traceNames = parser.accepts("trace").withRequiredArg();
 		OptionSpec<Void> json = parser.accepts("json");
 		try {
 			OptionSet options = parser.parse(arguments.toArray(new String[0]));
-			List<MadeTrace> traces = List.of(MadeTrace.lantern(SEED, 1), MadeTrace.erongo(SEED, 1),
-					MadeTrace.twoYears(SEED, 1), MadeTrace.lantern(SEED, OVERLOAD), MadeTrace.erongo(SEED, OVERLOAD),
-					MadeTrace.shift(HELD_OUT_SEED, 1), MadeTrace.erongo(HELD_OUT_SEED, 1));
+			List<GeneratedTrace> traces = List.of(GeneratedTrace.interactiveWithBatch(SEED, 1),
+					GeneratedTrace.interactiveWithLongOutputs(SEED, 1), GeneratedTrace.manyAccounts(SEED, 1),
+					GeneratedTrace.interactiveWithBatch(SEED, OVERLOAD_FACTOR),
+					GeneratedTrace.interactiveWithLongOutputs(SEED, OVERLOAD_FACTOR),
+					GeneratedTrace.lengthShift(HELD_OUT_SEED, 1),
+					GeneratedTrace.interactiveWithLongOutputs(HELD_OUT_SEED, 1));
 			List<String> names = List.of("lantern", "erongo", "two-years", "lantern x2", "erongo x2",
 					"shift (held out)", "erongo (held out)");
 			for (int i = 0; i < traces.size(); i++) {
-				if (!options.has(only) || options.valuesOf(only).contains(names.get(i))) {
+				if (!options.has(traceNames) || options.valuesOf(traceNames).contains(names.get(i))) {
 					HostSettings settings = settings(traces.get(i), options.valueOf(deviations),
 							options.valueOf(highWater), options.valueOf(ageing));
 					compare(names.get(i), traces.get(i), settings, options.has(json), out);
@@ -83,15 +86,16 @@
 		}
 	}
 
-	private static void compare(String name, MadeTrace trace, HostSettings settings, boolean json, PrintStream out) {
+	private static void compare(String name, GeneratedTrace trace, HostSettings settings, boolean json,
+			PrintStream out) {
 		List<Row> rows = new ArrayList<>();
 		rows.add(new Row("(a) round robin", run(trace, Baselines::roundRobin)));
-		rows.add(bestCap(trace));
+		rows.add(bestLeastOutstanding(trace));
 		rows.add(new Row("(c) laneworks", run(trace, (r) -> new CorePolicy(r, settings,
 				new LearnedLengthModel(HALF_LIFE, LearnedLengthModel.DEFAULT_MAX_CLASSES), false))));
-		HostSettings knowing = settings(trace, 0, settings.highWater(), settings.ageingMillis());
-		rows.add(new Row("(d) clairvoyant",
-				run(trace, (r) -> new CorePolicy(r, knowing, new CorePolicy.Clairvoyance(), true))));
+		HostSettings clairvoyantSettings = settings(trace, 0, settings.highWater(), settings.ageingMillis());
+		rows.add(new Row("(d) clairvoyant", run(trace,
+				(r) -> new CorePolicy(r, clairvoyantSettings, new CorePolicy.ClairvoyantLengthModel(), true))));
 		out.printf("%n%s: %d requests, %d engines of %d tokens, %d s%n", name, trace.arrivals().size(), trace.engines(),
 				trace.capacityTokens(), trace.horizonMillis() / 1000);
 		out.printf("%-18s %9s %9s %9s %9s %9s %9s %9s %7s %8s%n", "", "preempted", "stall p50", "stall p99", "gap p99",
@@ -105,10 +109,10 @@
 		}
 	}
 
-	private static Row bestCap(MadeTrace trace) {
+	private static Row bestLeastOutstanding(GeneratedTrace trace) {
 		Row best = null;
-		for (int cap : CAPS) {
-			Row row = new Row("(b) cap " + cap, run(trace, (r) -> Baselines.leastOutstanding(r, cap)));
+		for (int maxRunning : RUNNING_LIMITS) {
+			Row row = new Row("(b) cap " + maxRunning, run(trace, (r) -> Baselines.leastOutstanding(r, maxRunning)));
 			if (best == null || score(row, trace) > score(best, trace)) {
 				best = row;
 			}
@@ -116,45 +120,46 @@
 		return best;
 	}
 
-	// What an operator who sweeps the cap would look for: throughput, less what
-	// preemptions and stalls cost readers.
-	private static double score(Row row, MadeTrace trace) {
-		Measured measured = row.measured();
-		return measured.tokensPerSecond(trace.horizonMillis()) - measured.preemptions()
-				- 100 * measured.stallSeconds(99) - 10 * measured.firstTokenSeconds(95);
+	// Score a limit of running requests by throughput, minus penalties for preemptions,
+	// stalls and slow first tokens.
+	private static double score(Row row, GeneratedTrace trace) {
+		PolicyMetrics metrics = row.metrics();
+		return metrics.tokensPerSecond(trace.horizonMillis()) - metrics.preemptions() - 100 * metrics.stallSeconds(99)
+				- 10 * metrics.firstTokenSeconds(95);
 	}
 
-	private static Measured run(MadeTrace trace, Function<Replay, Policy> policy) {
+	private static PolicyMetrics run(GeneratedTrace trace, Function<Replay, Policy> policy) {
 		return new Replay(trace).run(policy);
 	}
 
-	private static HostSettings settings(MadeTrace trace, double deviations, double highWater, long ageing) {
+	private static HostSettings settings(GeneratedTrace trace, double deviations, double highWater, long ageing) {
 		HostSettings defaults = HostSettings.defaults(trace.capacityTokens());
 		return new HostSettings(128, 10_000, trace.capacityTokens(), highWater, deviations, ageing,
 				defaults.orphanMillis(), defaults.holdMillis(), defaults.reattachMillis(), defaults.askMillis(),
 				defaults.pauseMillis(), defaults.lengthHalfLife());
 	}
 
-	private static void print(Row row, MadeTrace trace, PrintStream out) {
-		Measured measured = row.measured();
-		out.printf("%-18s %9d %9.2f %9.2f %9.1f %9.1f %9.2f %9.0f %7.2f %8d%n", row.name(), measured.preemptions(),
-				measured.stallSeconds(50), measured.stallSeconds(99), measured.gapMillis(99), measured.gapMillis(99.9),
-				measured.firstTokenSeconds(95), measured.tokensPerSecond(trace.horizonMillis()), measured.worstShare(),
-				measured.refusals());
+	private static void print(Row row, GeneratedTrace trace, PrintStream out) {
+		PolicyMetrics metrics = row.metrics();
+		out.printf("%-18s %9d %9.2f %9.2f %9.1f %9.1f %9.2f %9.0f %7.2f %8d%n", row.name(), metrics.preemptions(),
+				metrics.stallSeconds(50), metrics.stallSeconds(99), metrics.tokenIntervalMillis(99),
+				metrics.tokenIntervalMillis(99.9), metrics.firstTokenSeconds(95),
+				metrics.tokensPerSecond(trace.horizonMillis()), metrics.lowestFairShare(), metrics.refusals());
 	}
 
-	private static String json(String name, Row row, MadeTrace trace) {
-		Measured measured = row.measured();
+	private static String json(String name, Row row, GeneratedTrace trace) {
+		PolicyMetrics metrics = row.metrics();
 		ObjectNode json = JsonText.object();
-		json.put("trace", name).put("policy", row.name()).put("preemptions", measured.preemptions());
-		json.put("stallP50Seconds", measured.stallSeconds(50)).put("stallP99Seconds", measured.stallSeconds(99));
-		json.put("gapP99Millis", measured.gapMillis(99)).put("gapP999Millis", measured.gapMillis(99.9));
-		json.put("firstTokenP95Seconds", measured.firstTokenSeconds(95));
-		json.put("tokensPerSecond", measured.tokensPerSecond(trace.horizonMillis()));
-		return json.put("worstShare", measured.worstShare()).put("refused", measured.refusals()).toString();
+		json.put("trace", name).put("policy", row.name()).put("preemptions", metrics.preemptions());
+		json.put("stallP50Seconds", metrics.stallSeconds(50)).put("stallP99Seconds", metrics.stallSeconds(99));
+		json.put("gapP99Millis", metrics.tokenIntervalMillis(99))
+			.put("gapP999Millis", metrics.tokenIntervalMillis(99.9));
+		json.put("firstTokenP95Seconds", metrics.firstTokenSeconds(95));
+		json.put("tokensPerSecond", metrics.tokensPerSecond(trace.horizonMillis()));
+		return json.put("worstShare", metrics.lowestFairShare()).put("refused", metrics.refusals()).toString();
 	}
 
-	private record Row(String name, Measured measured) {
+	private record Row(String name, PolicyMetrics metrics) {
 
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Replay.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Replay.java
@@ -9,7 +9,7 @@
 import dev.laneworks.standin.engine.PrefixCache;
 
 /**
- * Replays a trace through a policy over models of engines, in virtual time.
+ * Replay of a trace through a policy over models of engines, in virtual time.
  */
 final class Replay {
 
@@ -17,15 +17,15 @@
 
 	private static final int MAX_BATCH = 128;
 
-	private final MadeTrace trace;
+	private final GeneratedTrace trace;
 
-	private final Measured measured = new Measured();
+	private final PolicyMetrics metrics = new PolicyMetrics();
 
 	private final EngineModel[] engines;
 
 	private Policy policy;
 
-	Replay(MadeTrace trace) {
+	Replay(GeneratedTrace trace) {
 		this.trace = trace;
 		this.engines = new EngineModel[trace.engines()];
 		EngineSettings base = EngineSettings.defaults();
@@ -38,12 +38,12 @@
 		}
 	}
 
-	MadeTrace trace() {
+	GeneratedTrace trace() {
 		return this.trace;
 	}
 
-	Measured measured() {
-		return this.measured;
+	PolicyMetrics metrics() {
+		return this.metrics;
 	}
 
 	int engineCount() {
@@ -54,27 +54,28 @@
 		return this.engines[index];
 	}
 
-	// Starts a request at an engine at once.
+	// Submit a request to an engine without delay.
 	void start(int engine, int number, Arrival arrival, long nowMillis) {
 		EngineRequest request = new EngineRequest(String.valueOf(number), arrival.promptTokens(), 0, 0,
 				arrival.priority(), arrival.length(), Integer.MAX_VALUE);
 		this.engines[engine].submit(request, nowMillis * 1000);
 	}
 
-	Measured run(Function<Replay, Policy> factory) {
+	PolicyMetrics run(Function<Replay, Policy> factory) {
 		this.policy = factory.apply(this);
-		int next = 0;
+		int nextArrival = 0;
 		for (long now = 0; now < this.trace.horizonMillis(); now += TICK_MILLIS) {
-			while (next < this.trace.arrivals().size() && this.trace.arrivals().get(next).atMillis() <= now) {
-				Arrival arrival = this.trace.arrivals().get(next);
-				this.measured.arrived(next, arrival);
-				this.policy.arrive(next, arrival, now);
-				next++;
+			while (nextArrival < this.trace.arrivals().size()
+					&& this.trace.arrivals().get(nextArrival).atMillis() <= now) {
+				Arrival arrival = this.trace.arrivals().get(nextArrival);
+				this.metrics.recordArrival(nextArrival, arrival);
+				this.policy.handleArrival(nextArrival, arrival, now);
+				nextArrival++;
 			}
 			this.policy.tick(now);
 			stepAll((now + TICK_MILLIS) * 1000);
 		}
-		return this.measured.close(this.trace.horizonMillis() * 1000);
+		return this.metrics.recordStalls(this.trace.horizonMillis() * 1000);
 	}
 
 	private void stepAll(long untilMicros) {
@@ -86,7 +87,7 @@
 	}
 
 	/**
-	 * Hears one engine.
+	 * Listener of one engine that updates the metrics and notifies the policy.
 	 */
 	private final class Listener implements EngineListener {
 
@@ -99,18 +100,18 @@
 		@Override
 		public void onToken(String name, int offset, long atMicros) {
 			int number = Integer.parseInt(name);
-			Replay.this.measured.token(number, atMicros);
-			Replay.this.policy.token(this.engine, number, offset, atMicros / 1000);
+			Replay.this.metrics.recordToken(number, atMicros);
+			Replay.this.policy.handleToken(this.engine, number, offset, atMicros / 1000);
 		}
 
 		@Override
 		public void onEnd(String name, int total, boolean byLimit, long atMicros) {
-			Replay.this.policy.end(this.engine, Integer.parseInt(name), total, atMicros / 1000);
+			Replay.this.policy.handleEnd(this.engine, Integer.parseInt(name), total, atMicros / 1000);
 		}
 
 		@Override
 		public void onPreempted(String name, long atMicros) {
-			Replay.this.measured.preempted();
+			Replay.this.metrics.recordPreemption();
 		}
 
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/package-info.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Replays arrivals through the core's decisions over models of engines, beside baselines
- * and a clairvoyant.
+ * Replay of generated traces that compares the core's scheduling with baselines and a
+ * clairvoyant policy over models of engines.
  */
 package dev.laneworks.bench.policy;
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/MadeFleet.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/GeneratedFleet.java
@@ -1,25 +1,25 @@
 package dev.laneworks.bench.slopes;
 
 /**
- * Makes configuration documents of any size.
+ * Generator of configuration documents of a given size.
  */
-final class MadeFleet {
+final class GeneratedFleet {
 
 	private static final int DATA_CENTRES = 5;
 
 	private static final int MODELS = 6;
 
-	private MadeFleet() {
+	private GeneratedFleet() {
 	}
 
 	static String document(long version, int targets, int accounts) {
 		StringBuilder text = new StringBuilder("{\"version\": ").append(version).append(", \"targets\": [\n");
 		for (int i = 0; i < targets; i++) {
-			int centre = i % DATA_CENTRES;
-			text.append("{\"name\": \"w%d\", \"region\": \"r%d\", \"dataCentre\": \"dc%d\", ".formatted(i, centre / 3,
-					centre));
-			text.append("\"address\": \"10.%d.%d.%d:7400\", \"serves\": [\"model-%d\"]},\n".formatted(centre, i / 200,
-					i % 200 + 1, i / DATA_CENTRES % MODELS));
+			int dataCentre = i % DATA_CENTRES;
+			text.append("{\"name\": \"w%d\", \"region\": \"r%d\", \"dataCentre\": \"dc%d\", ".formatted(i,
+					dataCentre / 3, dataCentre));
+			text.append("\"address\": \"10.%d.%d.%d:7400\", \"serves\": [\"model-%d\"]},\n".formatted(dataCentre,
+					i / 200, i % 200 + 1, i / DATA_CENTRES % MODELS));
 		}
 		text.append("], \"accounts\": [\n");
 		for (int i = 0; i < accounts; i++) {
@@ -34,7 +34,7 @@
 		return text.append("]}").toString();
 	}
 
-	static String model(int number) {
+	static String modelName(int number) {
 		return "model-" + number % MODELS;
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/Line.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/LinearRegression.java
@@ -1,15 +1,15 @@
 package dev.laneworks.bench.slopes;
 
 /**
- * The straight line that fits measured points best, by least squares.
+ * Least-squares regression line of measured points.
  *
- * @param slope the growth for one more
- * @param intercept the value at none
- * @param fit the share of the variance that the line explains, from 0 to 1
+ * @param slope the growth of the value per unit of size
+ * @param intercept the value at size zero
+ * @param rSquared the coefficient of determination, from 0 to 1
  */
-record Line(double slope, double intercept, double fit) {
+record LinearRegression(double slope, double intercept, double rSquared) {
 
-	static Line through(double[] x, double[] y) {
+	static LinearRegression fitTo(double[] x, double[] y) {
 		double meanX = mean(x);
 		double meanY = mean(y);
 		double sxx = 0;
@@ -21,8 +21,8 @@
 			syy += (y[i] - meanY) * (y[i] - meanY);
 		}
 		double slope = sxy / sxx;
-		double fit = (syy > 0) ? sxy * sxy / (sxx * syy) : 1;
-		return new Line(slope, meanY - slope * meanX, fit);
+		double rSquared = (syy > 0) ? sxy * sxy / (sxx * syy) : 1;
+		return new LinearRegression(slope, meanY - slope * meanX, rSquared);
 	}
 
 	private static double mean(double[] values) {
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/ProbedLinks.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/ProbedLinks.java
@@ -27,50 +27,52 @@
 import io.netty.channel.nio.NioIoHandler;
 
 /**
- * Links to one server that are probed all the time.
+ * Links to one server that are probed periodically, with the processor time of their
+ * event loops.
  */
 final class ProbedLinks implements AutoCloseable, TargetLinkListener, LinkListener {
 
-	private static final Duration PROBE_GAP = Duration.ofMillis(100);
+	private static final Duration PROBE_INTERVAL = Duration.ofMillis(100);
 
-	private static final long MEASURED_MILLIS = 3_000;
+	private static final long MEASUREMENT_MILLIS = 3_000;
 
-	private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+	private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(2,
+			NioIoHandler.newFactory());
 
 	private final LinkServer server;
 
 	private final TargetLinks links;
 
-	private final Set<String> up = new HashSet<>();
+	private final Set<String> connectedTargets = new HashSet<>();
 
 	ProbedLinks(int count) {
 		LinkSettings base = LinkSettings.defaults();
-		LinkSettings settings = new LinkSettings(base.maxFrameBytes(), base.silence(), PROBE_GAP, base.connectTimeout(),
-				base.reconnectFirst(), base.reconnectMax(), base.idle());
+		LinkSettings settings = new LinkSettings(base.maxFrameBytes(), base.silence(), PROBE_INTERVAL,
+				base.connectTimeout(), base.reconnectFirst(), base.reconnectMax(), base.idle());
 		PeerIdentity self = new PeerIdentity("peer", "d", 1);
-		this.server = new LinkServer(this.loops, new InetSocketAddress("127.0.0.1", 0), self, settings, this);
-		this.links = new TargetLinks(this.loops.next(), self, settings, new SplittableRandom(1), this);
+		this.server = new LinkServer(this.eventLoops, new InetSocketAddress("127.0.0.1", 0), self, settings, this);
+		this.links = new TargetLinks(this.eventLoops.next(), self, settings, new SplittableRandom(1), this);
 		Map<String, InetSocketAddress> addresses = new HashMap<>();
 		for (int i = 0; i < count; i++) {
 			addresses.put(TargetLinks.SEED_PREFIX + i, new InetSocketAddress("127.0.0.1", this.server.port()));
 		}
 		this.links.use(addresses, addresses.keySet());
-		while (upCount() < count) {
-			pause(20);
+		while (connectedCount() < count) {
+			awaitMillis(20);
 		}
 	}
 
 	double cpuMicrosPerSecond() {
-		pause(500);
-		long before = loopNanos();
-		pause(MEASURED_MILLIS);
-		return (loopNanos() - before) / 1e3 / (MEASURED_MILLIS / 1e3);
+		awaitMillis(500);
+		long before = eventLoopCpuNanos();
+		awaitMillis(MEASUREMENT_MILLIS);
+		return (eventLoopCpuNanos() - before) / 1e3 / (MEASUREMENT_MILLIS / 1e3);
 	}
 
 	@Override
 	public void onUp(String target, Link link) {
-		synchronized (this.up) {
-			this.up.add(target);
+		synchronized (this.connectedTargets) {
+			this.connectedTargets.add(target);
 		}
 	}
 
@@ -81,12 +83,12 @@
 
 	@Override
 	public void onDown(String target) {
-		// Not expected here.
+		// Links stay up during a measurement.
 	}
 
 	@Override
 	public void onUp(Link link) {
-		// Nothing to keep.
+		// The server keeps no state per link.
 	}
 
 	@Override
@@ -99,23 +101,23 @@
 
 	@Override
 	public void onDown(Link link) {
-		// Nothing to forget.
+		// The server keeps no state per link.
 	}
 
 	@Override
 	public void close() {
 		this.links.close();
 		this.server.close();
-		this.loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+		this.eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
 	}
 
-	private int upCount() {
-		synchronized (this.up) {
-			return this.up.size();
+	private int connectedCount() {
+		synchronized (this.connectedTargets) {
+			return this.connectedTargets.size();
 		}
 	}
 
-	private static long loopNanos() {
+	private static long eventLoopCpuNanos() {
 		ThreadMXBean threads = ManagementFactory.getThreadMXBean();
 		long nanos = 0;
 		for (long id : threads.getAllThreadIds()) {
@@ -127,7 +129,7 @@
 		return nanos;
 	}
 
-	private static void pause(long millis) {
+	private static void awaitMillis(long millis) {
 		try {
 			Thread.sleep(millis);
 		}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/package-info.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Measures how costs grow with the fleet, for docs/CAPACITY.md.
+ * Measurement of how costs grow with the size of the fleet, for docs/CAPACITY.md.
  */
 package dev.laneworks.bench.slopes;
