--- a/laneworks-processtests/src/test/java/dev/laneworks/processtests/FailureTests.java
+++ b/laneworks-processtests/src/test/java/dev/laneworks/processtests/FailureTests.java
@@ -21,13 +21,14 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Kills, freezes and cuts real processes and links in the middle of streams.
+ * Tests that crashes, pauses and broken links of real processes neither corrupt a stream
+ * nor execute a request twice.
  */
 class FailureTests {
 
 	private static final long STEP_MICROS = 10_000;
 
-	private static final int LENGTH = 150;
+	private static final int OUTPUT_LENGTH = 150;
 
 	private final StreamClient client = new StreamClient(Fleet.KEY);
 
@@ -39,147 +40,158 @@
 	}
 
 	@AfterEach
-	void endFleet() {
+	void stopFleet() {
 		this.fleet.close();
 	}
 
+	// Guards against lost and duplicated tokens when a client resumes at another entry.
 	@Test
-	void anEntrysDeathLosesNoTokenAndDoublesNone() throws IOException {
-		AtomicInteger seen = new AtomicInteger();
-		CompletableFuture<StreamResult> first = ask(0, "{}", seen);
-		Fleet.await("tokens come", () -> seen.get() > 20);
+	void streamResumesAtOtherEntryAfterEntryCrash() throws IOException {
+		AtomicInteger receivedTokens = new AtomicInteger();
+		CompletableFuture<StreamResult> first = ask(0, "{}", receivedTokens);
+		Fleet.await("more than 20 tokens are received", () -> receivedTokens.get() > 20);
 		this.fleet.entry(0).kill();
 		StreamResult cut = first.join();
-		assertThat(cut.isWhole()).isFalse();
-		StreamResult rest = this.client.comeBack(this.fleet.entryUri(1, "/v1/streams"), cut.lastEventId(), (t) -> {
+		assertThat(cut.isComplete()).isFalse();
+		StreamResult resumed = this.client.resume(this.fleet.entryUri(1, "/v1/streams"), cut.lastEventId(), (t) -> {
 		});
-		assertThat(rest.total().orElseThrow()).isEqualTo(LENGTH);
+		assertThat(resumed.reportedTokenCount().orElseThrow()).isEqualTo(OUTPUT_LENGTH);
 		List<String> all = new ArrayList<>(cut.tokens());
-		all.addAll(rest.tokens());
-		assertOneGeneration(all);
+		all.addAll(resumed.tokens());
+		assertTokensOfOneGeneration(all);
 	}
 
+	// Guards against a stream that breaks or repeats tokens when its sidecar restarts.
 	@Test
-	void aSidecarsDeathIsNotSeenByTheCaller() {
-		AtomicInteger seen = new AtomicInteger();
-		CompletableFuture<StreamResult> stream = ask(0, "{}", seen);
-		Fleet.await("tokens come", () -> seen.get() > 20);
-		int target = runningTarget();
+	void streamSurvivesSidecarRestart() {
+		AtomicInteger receivedTokens = new AtomicInteger();
+		CompletableFuture<StreamResult> stream = ask(0, "{}", receivedTokens);
+		Fleet.await("more than 20 tokens are received", () -> receivedTokens.get() > 20);
+		int target = findRunningTarget();
 		this.fleet.sidecar(target).kill();
 		this.fleet.startSidecar(target);
 		StreamResult result = stream.join();
-		assertWithMessage("%s", result.problem()).that(result.isWhole()).isTrue();
-		assertOneGeneration(result.tokens());
+		assertWithMessage("%s", result.problem()).that(result.isComplete()).isTrue();
+		assertTokensOfOneGeneration(result.tokens());
 	}
 
+	// Guards against a stream that continues with the output of another execution.
 	@Test
-	void anEnginesDeathEndsTheStreamClearlyAndNeverSplicesAnother() {
-		AtomicInteger seen = new AtomicInteger();
-		CompletableFuture<StreamResult> stream = ask(0, "{}", seen);
-		Fleet.await("tokens come", () -> seen.get() > 20);
-		this.fleet.engine(runningTarget()).stop();
+	void engineCrashEndsStreamWithProblem() {
+		AtomicInteger receivedTokens = new AtomicInteger();
+		CompletableFuture<StreamResult> stream = ask(0, "{}", receivedTokens);
+		Fleet.await("more than 20 tokens are received", () -> receivedTokens.get() > 20);
+		this.fleet.engine(findRunningTarget()).stop();
 		StreamResult result = stream.join();
-		assertThat(result.isWhole()).isFalse();
-		assertThat(result.total().isEmpty()).isTrue();
+		assertThat(result.isComplete()).isFalse();
+		assertThat(result.reportedTokenCount().isEmpty()).isTrue();
 		assertThat(result.problem().orElseThrow()).contains("\"verdict\":\"ran\"");
 	}
 
+	// Guards against a shutdown that cuts off active streams or rejects requests that the
+	// other target can execute.
 	@Test
-	void aPlannedStopOfASidecarCutsOffNothing() {
-		AtomicInteger seen = new AtomicInteger();
-		CompletableFuture<StreamResult> stream = ask(0, "{}", seen);
-		Fleet.await("tokens come", () -> seen.get() > 20);
-		int target = runningTarget();
+	void sidecarShutdownCompletesActiveStreams() {
+		AtomicInteger receivedTokens = new AtomicInteger();
+		CompletableFuture<StreamResult> stream = ask(0, "{}", receivedTokens);
+		Fleet.await("more than 20 tokens are received", () -> receivedTokens.get() > 20);
+		int target = findRunningTarget();
 		this.fleet.sidecar(target).terminate();
-		Fleet.await("the sidecar leaves",
-				() -> this.fleet.status(this.fleet.sidecarOperator(target)).path("load").path("leaving").asBoolean());
+		Fleet.await("the sidecar is draining",
+				() -> this.fleet.status(this.fleet.sidecarStatusUri(target)).path("load").path("leaving").asBoolean());
 		this.fleet.sidecar(target).terminate();
 		List<CompletableFuture<StreamResult>> others = new ArrayList<>();
 		for (int i = 0; i < 6; i++) {
 			others.add(ask(i % 2, "{\"standin_length\": 5}", new AtomicInteger()));
 		}
-		assertThat(stream.join().isWhole()).isTrue();
+		assertThat(stream.join().isComplete()).isTrue();
 		for (CompletableFuture<StreamResult> other : others) {
-			assertWithMessage("%s", other.join().problem()).that(other.join().isWhole()).isTrue();
+			assertWithMessage("%s", other.join().problem()).that(other.join().isComplete()).isTrue();
 			assertThat(other.join().target()).isEqualTo("t" + (1 - target));
 		}
-		assertThat(this.fleet.sidecar(target).awaitEnd()).isEqualTo(0);
+		assertThat(this.fleet.sidecar(target).awaitExit()).isEqualTo(0);
 	}
 
+	// Guards against a shutdown that cuts off active streams or does not finish.
 	@Test
-	void aPlannedStopOfAnEntryCutsOffNothing() throws IOException {
-		AtomicInteger seen = new AtomicInteger();
-		CompletableFuture<StreamResult> stream = ask(0, "{}", seen);
-		Fleet.await("tokens come", () -> seen.get() > 20);
-		askAndHangUp();
+	void entryShutdownCompletesActiveStreams() throws IOException {
+		AtomicInteger receivedTokens = new AtomicInteger();
+		CompletableFuture<StreamResult> stream = ask(0, "{}", receivedTokens);
+		Fleet.await("more than 20 tokens are received", () -> receivedTokens.get() > 20);
+		askAndDisconnect();
 		this.fleet.entry(0).terminate();
 		Fleet.await("the health check fails", () -> statusCode(this.fleet.entryUri(0, "/readyz")) == 503);
-		assertThat(stream.join().isWhole()).isTrue();
-		assertThat(this.fleet.entry(0).awaitEnd()).isEqualTo(0);
+		assertThat(stream.join().isComplete()).isTrue();
+		assertThat(this.fleet.entry(0).awaitExit()).isEqualTo(0);
 	}
 
+	// Guards against a paused sidecar that executes a request again after it resumes.
 	@Test
-	void aFrozenSidecarRunsATicketsRequestAtMostOnce() throws IOException {
+	void pausedSidecarsExecuteTicketAtMostOnce() throws IOException {
 		String ticket = JsonText
 			.read(this.client.call("POST", this.fleet.entryUri(0, "/v1/tickets"), "{\"model\": \"m\"}").body())
 			.path("ticket")
 			.asText();
 		assertThat(ticket).isNotEmpty();
-		this.fleet.sidecar(0).freeze();
-		this.fleet.sidecar(1).freeze();
+		this.fleet.sidecar(0).pause();
+		this.fleet.sidecar(1).pause();
 		CompletableFuture<StreamResult> first = ask(0, "{}", new AtomicInteger(), "Idempotency-Key", ticket);
 		StreamResult refused = first.join();
 		assertThat(refused.problem().orElseThrow()).contains("\"verdict\":\"may-have-run\"");
-		this.fleet.sidecar(0).wake();
-		this.fleet.sidecar(1).wake();
-		Fleet.await("the ticket's request is whole",
-				() -> ask(1, "{}", new AtomicInteger(), "Idempotency-Key", ticket).join().isWhole());
-		assertThat(sumOfRuns()).isEqualTo(1);
+		this.fleet.sidecar(0).unpause();
+		this.fleet.sidecar(1).unpause();
+		Fleet.await("the ticket's request is complete",
+				() -> ask(1, "{}", new AtomicInteger(), "Idempotency-Key", ticket).join().isComplete());
+		assertThat(totalExecutions()).isEqualTo(1);
 	}
 
+	// Guards against two executions of a ticket that is used at two entries concurrently.
 	@Test
-	void theSameTicketAtBothEntriesRunsOnce() throws IOException {
+	void ticketAtBothEntriesExecutesOnce() throws IOException {
 		String ticket = JsonText
 			.read(this.client.call("POST", this.fleet.entryUri(0, "/v1/tickets"), "{\"model\": \"m\"}").body())
 			.path("ticket")
 			.asText();
-		CompletableFuture<StreamResult> one = ask(0, "{}", new AtomicInteger(), "Idempotency-Key", ticket);
-		CompletableFuture<StreamResult> other = ask(1, "{}", new AtomicInteger(), "Idempotency-Key", ticket);
-		assertThat(one.join().isWhole() || other.join().isWhole()).isTrue();
-		assertThat(sumOfRuns()).isEqualTo(1);
+		CompletableFuture<StreamResult> atFirstEntry = ask(0, "{}", new AtomicInteger(), "Idempotency-Key", ticket);
+		CompletableFuture<StreamResult> atSecondEntry = ask(1, "{}", new AtomicInteger(), "Idempotency-Key", ticket);
+		assertThat(atFirstEntry.join().isComplete() || atSecondEntry.join().isComplete()).isTrue();
+		assertThat(totalExecutions()).isEqualTo(1);
 	}
 
+	// Guards against requests that wait for a target whose link is stalled.
 	@Test
-	void aStalledLinkDoesNotStopRepeatableWork() {
-		this.fleet.forwarder(0).cutBackward(true);
+	void stalledLinkRoutesRequestsToOtherTarget() {
+		this.fleet.forwarder(0).stallBackward(true);
 		for (int i = 0; i < 4; i++) {
 			StreamResult result = ask(0, "{\"standin_length\": 5}", new AtomicInteger()).join();
-			assertWithMessage("%s", result.problem()).that(result.isWhole()).isTrue();
+			assertWithMessage("%s", result.problem()).that(result.isComplete()).isTrue();
 			assertThat(result.target()).isEqualTo("t1");
 		}
 	}
 
+	// Guards against a stream that breaks or repeats tokens when a link is reestablished.
 	@Test
-	void aBrokenLinkInTheMiddleOfAStreamIsNotSeenByTheCaller() {
-		AtomicInteger seen = new AtomicInteger();
-		CompletableFuture<StreamResult> stream = ask(0, "{}", seen);
-		Fleet.await("tokens come", () -> seen.get() > 20);
-		this.fleet.forwarder(runningTarget()).breakAll(false);
+	void streamSurvivesBrokenLink() {
+		AtomicInteger receivedTokens = new AtomicInteger();
+		CompletableFuture<StreamResult> stream = ask(0, "{}", receivedTokens);
+		Fleet.await("more than 20 tokens are received", () -> receivedTokens.get() > 20);
+		this.fleet.forwarder(findRunningTarget()).closeConnections(false);
 		StreamResult result = stream.join();
-		assertWithMessage("%s", result.problem()).that(result.isWhole()).isTrue();
-		assertOneGeneration(result.tokens());
+		assertWithMessage("%s", result.problem()).that(result.isComplete()).isTrue();
+		assertTokensOfOneGeneration(result.tokens());
 	}
 
-	private CompletableFuture<StreamResult> ask(int entry, String more, AtomicInteger seen, String... headers) {
+	private CompletableFuture<StreamResult> ask(int entry, String options, AtomicInteger receivedTokens,
+			String... headers) {
 		return CompletableFuture.supplyAsync(() -> {
 			try {
 				JsonNode body = JsonText.object()
 					.put("model", "m")
 					.put("prompt", "hello")
 					.put("stream", true)
-					.put("standin_length", JsonText.read(more).path("standin_length").asInt(LENGTH));
+					.put("standin_length", JsonText.read(options).path("standin_length").asInt(OUTPUT_LENGTH));
 				return this.client.stream(this.fleet.entryUri(entry, "/v1/completions"), body.toString(),
-						(t) -> seen.incrementAndGet(), headers);
+						(t) -> receivedTokens.incrementAndGet(), headers);
 			}
 			catch (IOException ex) {
 				throw new IllegalStateException(ex);
@@ -187,8 +199,8 @@
 		});
 	}
 
-	// A caller whose answer never ends must not hold the stop up.
-	private void askAndHangUp() throws IOException {
+	// Starts a long generation and disconnects, which must not delay the shutdown.
+	private void askAndDisconnect() throws IOException {
 		String body = "{\"model\": \"m\", \"prompt\": \"x\", \"stream\": true, \"standin_length\": 90000}";
 		try (Socket socket = new Socket("127.0.0.1", this.fleet.entryUri(0, "/").getPort())) {
 			socket.getOutputStream()
@@ -199,16 +211,16 @@
 		}
 	}
 
-	private int runningTarget() {
+	private int findRunningTarget() {
 		Fleet.await("an engine runs the generation",
 				() -> this.fleet.load(0).path("running").asInt() + this.fleet.load(1).path("running").asInt() > 0);
 		return (this.fleet.load(0).path("running").asInt() > 0) ? 0 : 1;
 	}
 
-	private int sumOfRuns() {
+	private int totalExecutions() {
 		int sum = 0;
 		for (int i = 0; i < 2; i++) {
-			for (JsonNode count : this.fleet.runs(i)) {
+			for (JsonNode count : this.fleet.executionCounts(i)) {
 				sum += count.asInt();
 			}
 		}
@@ -224,8 +236,8 @@
 		}
 	}
 
-	private static void assertOneGeneration(List<String> tokens) {
-		assertThat(tokens).hasSize(LENGTH);
+	private static void assertTokensOfOneGeneration(List<String> tokens) {
+		assertThat(tokens).hasSize(OUTPUT_LENGTH);
 		String generation = tokens.get(0).substring(0, tokens.get(0).indexOf('#'));
 		for (int i = 0; i < tokens.size(); i++) {
 			assertThat(tokens.get(i)).isEqualTo(generation + '#' + i + ' ');
--- a/laneworks-processtests/src/test/java/dev/laneworks/processtests/Fleet.java
+++ b/laneworks-processtests/src/test/java/dev/laneworks/processtests/Fleet.java
@@ -23,8 +23,8 @@
 import dev.laneworks.standin.service.PlainServer;
 
 /**
- * Two entries and two sidecars as processes, before stand-ins in this process, with a
- * forwarder before each sidecar.
+ * Test fleet: two entries and three sidecars as child processes. The targets, the
+ * platform and a forwarder in front of each sidecar run in the test's process.
  */
 final class Fleet implements AutoCloseable {
 
@@ -32,21 +32,21 @@
 
 	private static final String KEY_DIGEST = "62af8704764faf8ea82fc61ce9c4c3908b6cb97d463a634e9e587d7c885db0ef";
 
-	private static final long AWAIT_MILLIS = 30_000;
+	private static final long AWAIT_TIMEOUT_MILLIS = 30_000;
 
-	private static final long AWAIT_GAP_MILLIS = 20;
+	private static final long AWAIT_INTERVAL_MILLIS = 20;
 
-	private static final int OK = 200;
+	private static final int HTTP_OK = 200;
 
 	private static final AtomicInteger NEXT_PORT = new AtomicInteger(21_000);
 
 	private final Path directory;
 
-	private final PlatformServer platform = new PlatformServer(free());
+	private final PlatformServer platform = new PlatformServer(freeAddress());
 
 	private final EngineServer[] engines = new EngineServer[2];
 
-	private final PlainServer service = new PlainServer(free(), 5);
+	private final PlainServer service = new PlainServer(freeAddress(), 5);
 
 	private final Forwarder[] forwarders = new Forwarder[2];
 
@@ -62,7 +62,7 @@
 
 	private final RunningProcess[] entries = new RunningProcess[2];
 
-	private final List<RunningProcess> started = new ArrayList<>();
+	private final List<RunningProcess> startedProcesses = new ArrayList<>();
 
 	private Forwarder serviceForwarder;
 
@@ -77,24 +77,25 @@
 		catch (IOException ex) {
 			throw new UncheckedIOException(ex);
 		}
-		EngineSettings base = EngineSettings.defaults();
-		EngineSettings settings = new EngineSettings(base.capacityTokens(), base.maxBatch(), stepMicros, 0, 0,
-				base.prefillTokensPerStep(), 0, base.medianLength(), base.lengthSigma(), 50, 50, 0, true, 1);
+		EngineSettings defaultSettings = EngineSettings.defaults();
+		EngineSettings settings = new EngineSettings(defaultSettings.capacityTokens(), defaultSettings.maxBatch(),
+				stepMicros, 0, 0, defaultSettings.prefillTokensPerStep(), 0, defaultSettings.medianLength(),
+				defaultSettings.lengthSigma(), 50, 50, 0, true, 1);
 		this.platform.start();
 		this.service.start();
 		for (int i = 0; i < 2; i++) {
-			this.engines[i] = new EngineServer(free(), settings);
+			this.engines[i] = new EngineServer(freeAddress(), settings);
 			this.engines[i].start();
-			this.sidecarPorts[i] = free().getPort();
-			this.sidecarOperatorPorts[i] = free().getPort();
-			this.entryPorts[i] = free().getPort();
-			this.entryOperatorPorts[i] = free().getPort();
+			this.sidecarPorts[i] = freeAddress().getPort();
+			this.sidecarOperatorPorts[i] = freeAddress().getPort();
+			this.entryPorts[i] = freeAddress().getPort();
+			this.entryOperatorPorts[i] = freeAddress().getPort();
 			this.forwarders[i] = new Forwarder(
 					new InetSocketAddress(InetAddress.getLoopbackAddress(), this.sidecarPorts[i]));
 		}
 	}
 
-	// Starts everything and waits until it serves.
+	// Starts all processes and waits until both entries are connected to all targets.
 	Fleet start() {
 		publish(document(1, ""));
 		startServiceSidecar();
@@ -110,7 +111,7 @@
 		for (int i = 0; i < 2; i++) {
 			int index = i;
 			await("entry " + i + " is linked to all targets", () -> {
-				JsonNode status = status(entryOperator(index));
+				JsonNode status = status(entryStatusUri(index));
 				int linked = 0;
 				for (JsonNode target : status.path("targets")) {
 					linked += target.path("linked").asBoolean() ? 1 : 0;
@@ -137,8 +138,8 @@
 				this.sidecarPorts[index], this.sidecarOperatorPorts[index], this.engines[index].port()));
 	}
 
-	// The configuration; the text given stands behind the version.
-	String document(long version, String more) {
+	// Returns the configuration document with additional members after the version.
+	String document(long version, String additionalMembers) {
 		return """
 				{"version": %d, %s
 				"keys": {"retryWindow": "2s", "viewAge": "30s", "serviceStaleness": "1s"},
@@ -149,7 +150,7 @@
 				{"name": "s0", "dataCentre": "d1", "address": "127.0.0.1:%d", "serves": ["lookup"]}],
 				"accounts": [{"name": "a", "keyDigest": "%s"}],
 				"intents": [{"model": "m"}, {"model": "lookup"}]}
-				""".formatted(version, more, this.forwarders[0].port(), this.forwarders[1].port(),
+				""".formatted(version, additionalMembers, this.forwarders[0].port(), this.forwarders[1].port(),
 				this.serviceForwarder().port(), KEY_DIGEST);
 	}
 
@@ -181,26 +182,26 @@
 		return URI.create("http://127.0.0.1:" + this.entryPorts[index] + path);
 	}
 
-	URI entryOperator(int index) {
+	URI entryStatusUri(int index) {
 		return URI.create("http://127.0.0.1:" + this.entryOperatorPorts[index] + "/status");
 	}
 
-	URI sidecarOperator(int index) {
+	URI sidecarStatusUri(int index) {
 		return URI.create("http://127.0.0.1:" + this.sidecarOperatorPorts[index] + "/status");
 	}
 
 	JsonNode status(URI uri) {
 		try {
 			var response = new StreamClient("").call("GET", uri, "");
-			return (response.statusCode() == OK) ? JsonText.read(response.body()) : JsonText.object();
+			return (response.statusCode() == HTTP_OK) ? JsonText.read(response.body()) : JsonText.object();
 		}
 		catch (IOException ex) {
 			return JsonText.object();
 		}
 	}
 
-	// How often an engine ran each generation.
-	JsonNode runs(int engine) {
+	// Returns the number of executions of each generation at an engine.
+	JsonNode executionCounts(int engine) {
 		return status(URI.create("http://127.0.0.1:" + this.engines[engine].port() + "/v1/runs"));
 	}
 
@@ -208,20 +209,20 @@
 		return status(URI.create("http://127.0.0.1:" + this.engines[engine].port() + "/v1/load"));
 	}
 
-	static void await(String what, BooleanSupplier condition) {
-		long end = System.nanoTime() + AWAIT_MILLIS * 1_000_000;
-		while (!condition.getAsBoolean()) {
-			if (System.nanoTime() > end) {
-				throw new AssertionError("waited in vain until " + what);
+	static void await(String condition, BooleanSupplier predicate) {
+		long deadline = System.nanoTime() + AWAIT_TIMEOUT_MILLIS * 1_000_000;
+		while (!predicate.getAsBoolean()) {
+			if (System.nanoTime() > deadline) {
+				throw new AssertionError("timed out waiting until " + condition);
 			}
-			sleep(AWAIT_GAP_MILLIS);
+			sleep(AWAIT_INTERVAL_MILLIS);
 		}
 	}
 
 	@Override
 	public void close() {
-		this.started.forEach(RunningProcess::wake);
-		this.started.forEach(RunningProcess::kill);
+		this.startedProcesses.forEach(RunningProcess::unpause);
+		this.startedProcesses.forEach(RunningProcess::kill);
 		this.platform.stop();
 		this.service.stop();
 		for (int i = 0; i < 2; i++) {
@@ -233,14 +234,14 @@
 
 	private Forwarder serviceForwarder() {
 		if (this.serviceForwarder == null) {
-			this.serviceForwarder = new Forwarder(free());
-			this.serviceOperatorPort = free().getPort();
+			this.serviceForwarder = new Forwarder(freeAddress());
+			this.serviceOperatorPort = freeAddress().getPort();
 		}
 		return this.serviceForwarder;
 	}
 
 	private void startServiceSidecar() {
-		int port = free().getPort();
+		int port = freeAddress().getPort();
 		this.serviceForwarder.close();
 		this.serviceForwarder = new Forwarder(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
 		publish(document(1, ""));
@@ -259,7 +260,7 @@
 		try {
 			Path file = Files.writeString(this.directory.resolve(name + ".json"), settings);
 			RunningProcess process = RunningProcess.start(mainClass, file, this.directory.resolve(name + ".log"));
-			this.started.add(process);
+			this.startedProcesses.add(process);
 			return process;
 		}
 		catch (IOException ex) {
@@ -267,16 +268,16 @@
 		}
 	}
 
-	// Below the range from which the operating system takes ports for outgoing
-	// connections, which would race for them.
-	private static InetSocketAddress free() {
+	// Returns a free port below the ephemeral range, which no outgoing connection can
+	// occupy.
+	private static InetSocketAddress freeAddress() {
 		while (true) {
 			int port = NEXT_PORT.getAndIncrement();
 			try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
 				return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
 			}
 			catch (IOException ex) {
-				// Taken; the next one is tried.
+				// The port is in use. Try the next one.
 			}
 		}
 	}
--- a/laneworks-processtests/src/test/java/dev/laneworks/processtests/RunningProcess.java
+++ b/laneworks-processtests/src/test/java/dev/laneworks/processtests/RunningProcess.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A program of the system running as a process of its own.
+ * Child process that runs a program of the system, controlled by signals.
  */
 final class RunningProcess {
 
-	private static final long END_SECONDS = 60;
+	private static final long EXIT_TIMEOUT_SECONDS = 60;
 
 	private final Process process;
 
@@ -42,29 +42,29 @@
 
 	void kill() {
 		this.process.destroyForcibly();
-		awaitEnd();
+		awaitExit();
 	}
 
 	void terminate() {
-		signal("TERM");
+		sendSignal("TERM");
 	}
 
-	void freeze() {
-		signal("STOP");
+	void pause() {
+		sendSignal("STOP");
 	}
 
-	void wake() {
-		signal("CONT");
+	void unpause() {
+		sendSignal("CONT");
 	}
 
 	boolean isAlive() {
 		return this.process.isAlive();
 	}
 
-	int awaitEnd() {
+	int awaitExit() {
 		try {
-			if (!this.process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
-				throw new IllegalStateException("the process did not end; its log: " + log());
+			if (!this.process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+				throw new IllegalStateException("the process did not exit before the timeout; its log: " + log());
 			}
 			return this.process.exitValue();
 		}
@@ -83,7 +83,7 @@
 		}
 	}
 
-	private void signal(String name) {
+	private void sendSignal(String name) {
 		try {
 			new ProcessBuilder("kill", "-" + name, String.valueOf(this.process.pid())).start().waitFor();
 		}
--- a/laneworks-processtests/src/test/java/dev/laneworks/processtests/ServingTests.java
+++ b/laneworks-processtests/src/test/java/dev/laneworks/processtests/ServingTests.java
@@ -20,8 +20,8 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * What callers and operators get from running processes when nothing fails but callers
- * and the platform.
+ * Tests of the interfaces for clients and operators over real processes, with invalid
+ * requests, disconnecting clients and faults of the platform.
  */
 class ServingTests {
 
@@ -35,22 +35,22 @@
 	}
 
 	@AfterAll
-	static void endFleet() {
+	static void stopFleet() {
 		fleet.close();
 	}
 
 	@Test
-	void streamsACompletion() throws IOException {
+	void streamsCompletion() throws IOException {
 		StreamResult result = this.client.stream(fleet.entryUri(0, "/v1/completions"),
 				"{\"model\": \"m\", \"prompt\": \"x\", \"stream\": true, \"standin_length\": 30}", (t) -> {
 				});
-		assertThat(result.isWhole()).isTrue();
+		assertThat(result.isComplete()).isTrue();
 		assertThat(result.tokens()).hasSize(30);
 		assertThat(result.route()).isNotEmpty();
 	}
 
 	@Test
-	void answersAChatInOnePiece() throws IOException {
+	void returnsChatCompletionWithoutStreaming() throws IOException {
 		HttpResponse<String> response = this.client.call("POST", fleet.entryUri(1, "/v1/chat/completions"),
 				"{\"model\": \"m\", \"messages\": [{\"role\": \"user\", \"content\": \"x\"}], \"standin_length\": 7}");
 		assertThat(response.statusCode()).isEqualTo(200);
@@ -60,7 +60,7 @@
 	}
 
 	@Test
-	void endsAtTheLimitOfTokens() throws IOException {
+	void stopsAtMaxTokens() throws IOException {
 		HttpResponse<String> response = this.client.call("POST", fleet.entryUri(1, "/v1/completions"),
 				"{\"model\": \"m\", \"prompt\": \"x\", \"max_tokens\": 3, \"standin_length\": 7}");
 		assertThat(JsonText.read(response.body()).path("choices").path(0).path("finish_reason").asText())
@@ -68,7 +68,7 @@
 	}
 
 	@Test
-	void passesACallOnToAPlainService() throws IOException {
+	void forwardsRequestToPlainService() throws IOException {
 		HttpResponse<String> response = this.client.call("POST", fleet.entryUri(0, "/services/lookup/deeds/7?x=1"),
 				"body");
 		assertThat(response.statusCode()).isEqualTo(200);
@@ -77,7 +77,7 @@
 	}
 
 	@Test
-	void refusesBadInputWithAClearAnswer() throws IOException {
+	void rejectsInvalidRequestsWithProblem() throws IOException {
 		assertProblem(post("{"), 400, "not JSON");
 		assertProblem(post("[]"), 400, "must be a JSON object");
 		assertProblem(post("{\"prompt\": \"x\"}"), 400, "'model' is missing");
@@ -87,50 +87,54 @@
 		assertProblem(post("x".repeat(70_000)), 413, "larger than 65536 bytes");
 		assertProblem(this.client.call("GET", fleet.entryUri(0, "/v1/completions"), ""), 405, "only POST");
 		assertProblem(this.client.call("GET", fleet.entryUri(0, "/nothing"), ""), 404, "nothing is served");
-		HttpResponse<String> unknown = new StreamClient("wrong").call("POST", fleet.entryUri(0, "/v1/completions"),
+		HttpResponse<String> unauthorized = new StreamClient("wrong").call("POST", fleet.entryUri(0, "/v1/completions"),
 				"{}");
-		assertProblem(unknown, 401, "the API key is not known");
+		assertProblem(unauthorized, 401, "the API key is not known");
 		assertProblem(this.client.call("GET", fleet.entryUri(0, "/v1/streams"), "", "Last-Event-ID", "forged"), 400,
 				"Last-Event-ID");
 	}
 
+	// Guards against clients that exhaust memory or hold connections open.
 	@Test
-	void closesAConnectionThatSendsTooMuchOrNothing() throws IOException {
-		StringBuilder flood = new StringBuilder("GET /livez HTTP/1.1\r\nHost: x\r\n");
+	void closesConnectionsWithOversizedOrIncompleteHeaders() throws IOException {
+		StringBuilder oversizedRequest = new StringBuilder("GET /livez HTTP/1.1\r\nHost: x\r\n");
 		for (int i = 0; i < 200; i++) {
-			flood.append("X-").append(i).append(": y\r\n");
+			oversizedRequest.append("X-").append(i).append(": y\r\n");
 		}
-		assertThat(raw(flood + "\r\n")).doesNotContain("live");
-		assertThat(raw("POST /v1/comple")).doesNotContain("HTTP/1.1 200");
+		assertThat(sendRaw(oversizedRequest + "\r\n")).doesNotContain("live");
+		assertThat(sendRaw("POST /v1/comple")).doesNotContain("HTTP/1.1 200");
 		assertThat(this.client.call("GET", fleet.entryUri(0, "/livez"), "").statusCode()).isEqualTo(200);
 	}
 
+	// Guards against generations that keep running after their client disconnected.
 	@Test
-	void aCallerThatLeavesFreesTheEngine() {
-		CompletableFuture<Void> asked = CompletableFuture.runAsync(() -> {
+	void clientDisconnectCancelsGeneration() {
+		CompletableFuture<Void> clientRequest = CompletableFuture.runAsync(() -> {
 			try (Socket socket = new Socket("127.0.0.1", fleet.entryUri(0, "/").getPort())) {
 				String body = "{\"model\": \"m\", \"prompt\": \"x\", \"standin_length\": 90000}";
 				socket.getOutputStream()
 					.write(("POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + Fleet.KEY
 							+ "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
 						.getBytes(StandardCharsets.UTF_8));
-				Fleet.await("the engine runs it", () -> running() > 0);
+				Fleet.await("an engine runs the generation", () -> runningGenerations() > 0);
 			}
 			catch (IOException ex) {
 				throw new IllegalStateException(ex);
 			}
 		});
-		asked.join();
-		Fleet.await("the engine is free again", () -> running() == 0);
+		clientRequest.join();
+		Fleet.await("no engine runs a generation", () -> runningGenerations() == 0);
 	}
 
+	// Guards against a process that reverts to an older configuration, also after a
+	// restart while the platform is down.
 	@Test
-	void aConfigurationComesInForceEverywhereAndNeverReverts() throws IOException {
+	void configurationAppliesEverywhereAndNeverReverts() throws IOException {
 		fleet.publish(fleet.document(2, ""));
 		awaitVersion(2);
 		fleet.publish("{\"version\": 3,\n\"targest\": []}");
-		Fleet.await("the bad document was refused with its line",
-				() -> fleet.status(fleet.sidecarOperator(0)).path("lastRefusal").asText().contains(":2: targest"));
+		Fleet.await("the sidecar reports the line of the invalid document",
+				() -> fleet.status(fleet.sidecarStatusUri(0)).path("lastRefusal").asText().contains(":2: targest"));
 		fleet.publish(fleet.document(1, ""));
 		fleet.platform().setFault(PlatformServer.Fault.DOWN);
 		fleet.entry(1).kill();
@@ -143,13 +147,13 @@
 	}
 
 	@Test
-	void showsMetricsAndTheTraceOfARequest() throws IOException {
+	void exposesMetricsAndRequestTrace() throws IOException {
 		HttpResponse<String> response = this.client.call("POST", fleet.entryUri(0, "/v1/completions"),
 				"{\"model\": \"m\", \"prompt\": \"x\", \"standin_length\": 3}");
 		String request = response.headers().firstValue("Laneworks-Request").orElseThrow();
-		String trace = fleet.status(fleet.entryOperator(0).resolve("/trace/" + request)).toString();
+		String trace = fleet.status(fleet.entryStatusUri(0).resolve("/trace/" + request)).toString();
 		assertThat(trace).contains("ROUTED");
-		String metrics = this.client.call("GET", fleet.entryOperator(0).resolve("/metrics"), "").body();
+		String metrics = this.client.call("GET", fleet.entryStatusUri(0).resolve("/metrics"), "").body();
 		assertThat(metrics).contains("laneworks_first_token_micros");
 		assertThat(metrics).contains("laneworks_calls_finished");
 	}
@@ -158,13 +162,13 @@
 		for (int i = 0; i < 2; i++) {
 			int index = i;
 			Fleet.await("version " + version + " is in force at entry " + i,
-					() -> fleet.status(fleet.entryOperator(index)).path("configurationVersion").asLong() == version);
+					() -> fleet.status(fleet.entryStatusUri(index)).path("configurationVersion").asLong() == version);
 			Fleet.await("version " + version + " is in force at sidecar " + i,
-					() -> fleet.status(fleet.sidecarOperator(index)).path("configurationVersion").asLong() == version);
+					() -> fleet.status(fleet.sidecarStatusUri(index)).path("configurationVersion").asLong() == version);
 		}
 	}
 
-	private static int running() {
+	private static int runningGenerations() {
 		return fleet.load(0).path("running").asInt() + fleet.load(1).path("running").asInt();
 	}
 
@@ -178,7 +182,7 @@
 		assertThat(JsonText.read(response.body()).path("verdict").asText()).isEqualTo("not-run");
 	}
 
-	private static String raw(String request) throws IOException {
+	private static String sendRaw(String request) throws IOException {
 		try (Socket socket = new Socket("127.0.0.1", fleet.entryUri(0, "/").getPort())) {
 			socket.setSoTimeout(20_000);
 			OutputStream out = socket.getOutputStream();
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/StandinMain.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/StandinMain.java
@@ -23,9 +23,11 @@
 import joptsimple.OptionSpec;
 
 /**
- * Starts the stand-ins, and a caller to try them with.
+ * Command-line program that starts a stand-in or sends requests to a running system. Used
+ * by tests, benchmarks and the demo.
  * <p>
- * {@code engine --port P [--memory TOKENS] [--step MICROS] [--batch N]},
+ * Commands:
+ * {@code engine --port P [--memory TOKENS] [--step MICROS] [--batch N] [--seed S] [--numbers]},
  * {@code service --port P [--delay MILLIS]}, {@code platform --port P --document FILE},
  * {@code ask --url URL --key KEY --model M --prompt TEXT},
  * {@code call --method M --url URL [--key KEY] [--body TEXT]} and
@@ -35,53 +37,54 @@
  */
 public final class StandinMain {
 
-	private static final int AWAIT_TRIES = 300;
+	private static final int MAX_AWAIT_ATTEMPTS = 300;
 
-	private static final long AWAIT_GAP_MILLIS = 100;
+	private static final long AWAIT_INTERVAL_MILLIS = 100;
 
-	private static final int OK = 200;
+	private static final int HTTP_OK = 200;
 
 	private static final String LOOPBACK = "127.0.0.1";
 
 	private final OptionParser parser = new OptionParser();
 
-	private final OptionSpec<Integer> port = this.parser.accepts("port", "where to listen")
+	private final OptionSpec<Integer> port = this.parser.accepts("port", "the port to listen on, 0 for a free one")
 		.withRequiredArg()
 		.ofType(Integer.class)
 		.defaultsTo(0);
 
-	private final OptionSpec<Long> memory = this.parser.accepts("memory", "the engine's memory in tokens")
+	private final OptionSpec<Long> memory = this.parser.accepts("memory", "the engine's memory size in tokens")
 		.withRequiredArg()
 		.ofType(Long.class)
 		.defaultsTo(EngineSettings.defaults().capacityTokens());
 
-	private final OptionSpec<Long> step = this.parser.accepts("step", "the fixed time of a step in microseconds")
+	private final OptionSpec<Long> step = this.parser.accepts("step", "the fixed duration of a step in microseconds")
 		.withRequiredArg()
 		.ofType(Long.class)
 		.defaultsTo(EngineSettings.defaults().stepMicros());
 
-	private final OptionSpec<Integer> batch = this.parser.accepts("batch", "the most generations in one step")
+	private final OptionSpec<Integer> batch = this.parser
+		.accepts("batch", "the maximum number of generations in a step")
 		.withRequiredArg()
 		.ofType(Integer.class)
 		.defaultsTo(EngineSettings.defaults().maxBatch());
 
-	private final OptionSpec<Long> seed = this.parser.accepts("seed", "makes lengths repeatable")
+	private final OptionSpec<Long> seed = this.parser.accepts("seed", "the random seed for output lengths")
 		.withRequiredArg()
 		.ofType(Long.class)
 		.defaultsTo(1L);
 
-	private final OptionSpec<Void> numbers = this.parser.accepts("numbers",
-			"tokens name their generation and offset instead of being words");
+	private final OptionSpec<Void> numberedTokens = this.parser.accepts("numbers",
+			"use the generation's name and the offset as token text instead of words");
 
-	private final OptionSpec<Long> delay = this.parser.accepts("delay", "how long a call takes in milliseconds")
+	private final OptionSpec<Long> delay = this.parser.accepts("delay", "the delay of a response in milliseconds")
 		.withRequiredArg()
 		.ofType(Long.class)
 		.defaultsTo(5L);
 
-	private final OptionSpec<String> document = this.parser.accepts("document", "the configuration to hold")
+	private final OptionSpec<String> document = this.parser.accepts("document", "the configuration document to serve")
 		.withRequiredArg();
 
-	private final OptionSpec<String> url = this.parser.accepts("url", "where to call").withRequiredArg();
+	private final OptionSpec<String> url = this.parser.accepts("url", "the URL to call").withRequiredArg();
 
 	private final OptionSpec<String> key = this.parser.accepts("key", "the API key").withRequiredArg().defaultsTo("");
 
@@ -93,14 +96,16 @@
 		.withRequiredArg()
 		.defaultsTo("GET");
 
-	private final OptionSpec<String> body = this.parser.accepts("body", "the body").withRequiredArg().defaultsTo("");
+	private final OptionSpec<String> body = this.parser.accepts("body", "the request body")
+		.withRequiredArg()
+		.defaultsTo("");
 
 	private StandinMain() {
 	}
 
 	/**
-	 * Run the program.
-	 * @param arguments the command line
+	 * Run a command and exit with its status.
+	 * @param arguments the command followed by its options
 	 */
 	public static void main(String[] arguments) {
 		System.exit(new StandinMain().run(arguments).code());
@@ -137,21 +142,22 @@
 	}
 
 	private ExitCode engine(OptionSet options) {
-		EngineSettings base = EngineSettings.defaults();
+		EngineSettings defaultSettings = EngineSettings.defaults();
 		EngineSettings settings = new EngineSettings(options.valueOf(this.memory), options.valueOf(this.batch),
-				options.valueOf(this.step), base.stepMicrosPerSequence(), base.prefillMicrosPerToken(),
-				base.prefillTokensPerStep(), base.prefixCacheTokens(), base.medianLength(), base.lengthSigma(),
-				base.reportLagMillis(), base.eventLagMillis(), base.eventLossShare(), options.has(this.numbers),
-				options.valueOf(this.seed));
+				options.valueOf(this.step), defaultSettings.stepMicrosPerSequence(),
+				defaultSettings.prefillMicrosPerToken(), defaultSettings.prefillTokensPerStep(),
+				defaultSettings.prefixCacheTokens(), defaultSettings.medianLength(), defaultSettings.lengthSigma(),
+				defaultSettings.reportLagMillis(), defaultSettings.eventLagMillis(), defaultSettings.eventLossRate(),
+				options.has(this.numberedTokens), options.valueOf(this.seed));
 		EngineServer server = new EngineServer(address(options), settings);
 		server.start();
-		return forever("engine", server.port());
+		return awaitTermination("engine", server.port());
 	}
 
 	private ExitCode service(OptionSet options) {
 		PlainServer server = new PlainServer(address(options), options.valueOf(this.delay));
 		server.start();
-		return forever("service", server.port());
+		return awaitTermination("service", server.port());
 	}
 
 	private ExitCode platform(OptionSet options) throws IOException {
@@ -160,7 +166,7 @@
 			server.publish(Files.readString(Path.of(options.valueOf(this.document))));
 		}
 		server.start();
-		return forever("platform", server.port());
+		return awaitTermination("platform", server.port());
 	}
 
 	private ExitCode ask(OptionSet options) throws IOException {
@@ -171,10 +177,11 @@
 			.put("stream", true)
 			.toString();
 		StreamResult result = client.stream(URI.create(options.valueOf(this.url) + "/v1/completions"), request,
-				StandinMain::printNow);
+				StandinMain::printAndFlush);
 		System.out.println();
-		if (!result.isWhole()) {
-			System.err.println("status " + result.status() + ": " + result.problem().orElse("the answer was cut off"));
+		if (!result.isComplete()) {
+			System.err
+				.println("status " + result.status() + ": " + result.problem().orElse("the response was cut off"));
 			return ExitCode.FAILED;
 		}
 		double firstMillis = (result.tokenNanos()[0] - result.startNanos()) / 1e6;
@@ -193,18 +200,18 @@
 	private ExitCode await(OptionSet options) throws IOException {
 		URI uri = URI.create(options.valueOf(this.url));
 		StreamClient client = new StreamClient("");
-		for (int i = 0; i < AWAIT_TRIES; i++) {
+		for (int i = 0; i < MAX_AWAIT_ATTEMPTS; i++) {
 			try {
-				if (client.call("GET", uri, "").statusCode() == OK) {
+				if (client.call("GET", uri, "").statusCode() == HTTP_OK) {
 					return ExitCode.OK;
 				}
 			}
 			catch (IOException ex) {
-				// Not up yet.
+				// The server does not accept connections yet.
 			}
-			pause();
+			sleepBetweenAttempts();
 		}
-		System.err.println(uri + " did not answer 200 in time");
+		System.err.println(uri + " did not return status 200 before the timeout");
 		return ExitCode.FAILED;
 	}
 
@@ -212,13 +219,13 @@
 		return new InetSocketAddress(LOOPBACK, options.valueOf(this.port));
 	}
 
-	private static void printNow(String text) {
+	private static void printAndFlush(String text) {
 		System.out.print(text);
 		System.out.flush();
 	}
 
-	private static ExitCode forever(String name, int listening) {
-		System.out.println(name + " listens on " + LOOPBACK + ':' + listening);
+	private static ExitCode awaitTermination(String name, int listeningPort) {
+		System.out.println(name + " listens on " + LOOPBACK + ':' + listeningPort);
 		try {
 			new CountDownLatch(1).await();
 		}
@@ -228,9 +235,9 @@
 		return ExitCode.OK;
 	}
 
-	private static void pause() {
+	private static void sleepBetweenAttempts() {
 		try {
-			Thread.sleep(AWAIT_GAP_MILLIS);
+			Thread.sleep(AWAIT_INTERVAL_MILLIS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
@@ -244,7 +251,7 @@
 			this.parser.printHelpOn(System.err);
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("the help page can't be printed", ex);
+			throw new IllegalStateException("the usage text cannot be printed", ex);
 		}
 		return ExitCode.USAGE;
 	}
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/client/StreamClient.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/client/StreamClient.java
@@ -19,8 +19,8 @@
 import dev.laneworks.runtime.http.JsonText;
 
 /**
- * A caller that speaks OpenAI's interface over the Java library's client, one blocking
- * request at a time.
+ * Blocking HTTP client for streamed and plain requests to an OpenAI-compatible interface,
+ * based on the JDK's {@link HttpClient}.
  *
  * @since 0.1
  */
@@ -28,9 +28,9 @@
 
 	private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
 
-	private static final String DATA = "data:";
+	private static final String DATA_FIELD = "data:";
 
-	private static final String ID = "id:";
+	private static final String ID_FIELD = "id:";
 
 	private final HttpClient http = HttpClient.newBuilder()
 		.version(HttpClient.Version.HTTP_1_1)
@@ -40,48 +40,49 @@
 	private final String apiKey;
 
 	/**
-	 * Create a caller.
-	 * @param apiKey its API key, or empty text to send none
+	 * Create a client.
+	 * @param apiKey the API key, or an empty string to send none
 	 */
 	public StreamClient(String apiKey) {
 		this.apiKey = apiKey;
 	}
 
 	/**
-	 * Post a request and read its streamed answer to the end.
-	 * @param uri where to post
-	 * @param body the body
-	 * @param onToken hears of each token as it comes
-	 * @param headers further headers, names and values in turn
-	 * @return what came
-	 * @throws IOException if the server can't be reached
+	 * Send a request and read its streamed response until it ends or the connection
+	 * breaks.
+	 * @param uri the URI of the resource
+	 * @param body the JSON body
+	 * @param onToken called with the text of each token when it is received
+	 * @param headers additional headers as alternating names and values
+	 * @return the part of the response that was received
+	 * @throws IOException if the server cannot be reached
 	 */
 	public StreamResult stream(URI uri, String body, Consumer<String> onToken, String... headers) throws IOException {
 		HttpRequest.Builder request = request(uri, headers).header("Content-Type", "application/json")
 			.POST(HttpRequest.BodyPublishers.ofString(body));
-		return read(request.build(), onToken);
+		return sendAndRead(request.build(), onToken);
 	}
 
 	/**
-	 * Go on with a stream from the last event received.
-	 * @param uri where to ask
-	 * @param lastEventId the identity of that event
-	 * @param onToken hears of each token as it comes
-	 * @return what came
-	 * @throws IOException if the server can't be reached
+	 * Resume a stream after the last event received.
+	 * @param uri the URI of the streams resource
+	 * @param lastEventId the ID of that event
+	 * @param onToken called with the text of each token when it is received
+	 * @return the part of the response that was received
+	 * @throws IOException if the server cannot be reached
 	 */
-	public StreamResult comeBack(URI uri, String lastEventId, Consumer<String> onToken) throws IOException {
-		return read(request(uri, "Last-Event-ID", lastEventId).GET().build(), onToken);
+	public StreamResult resume(URI uri, String lastEventId, Consumer<String> onToken) throws IOException {
+		return sendAndRead(request(uri, "Last-Event-ID", lastEventId).GET().build(), onToken);
 	}
 
 	/**
-	 * Make a call and read its whole answer.
+	 * Send a request and read its complete response.
 	 * @param method the HTTP method
-	 * @param uri where to call
-	 * @param body the body
-	 * @param headers further headers, names and values in turn
-	 * @return the answer
-	 * @throws IOException if the server can't be reached
+	 * @param uri the URI of the resource
+	 * @param body the request body, or an empty string for none
+	 * @param headers additional headers as alternating names and values
+	 * @return the response
+	 * @throws IOException if the server cannot be reached or closes the connection early
 	 */
 	public HttpResponse<String> call(String method, URI uri, String body, String... headers) throws IOException {
 		HttpRequest.Builder request = request(uri, headers).method(method, HttpRequest.BodyPublishers.ofString(body));
@@ -105,8 +106,8 @@
 		return request;
 	}
 
-	private StreamResult read(HttpRequest request, Consumer<String> onToken) throws IOException {
-		long start = System.nanoTime();
+	private StreamResult sendAndRead(HttpRequest request, Consumer<String> onToken) throws IOException {
+		long startNanos = System.nanoTime();
 		HttpResponse<InputStream> response;
 		try {
 			response = this.http.send(request, HttpResponse.BodyHandlers.ofInputStream());
@@ -115,45 +116,48 @@
 			Thread.currentThread().interrupt();
 			throw new IOException("interrupted", ex);
 		}
-		Reading reading = new Reading(onToken);
-		boolean events = response.headers().firstValue("Content-Type").orElse("").startsWith("text/event-stream");
+		EventReader reader = new EventReader(onToken);
+		boolean isEventStream = response.headers()
+			.firstValue("Content-Type")
+			.orElse("")
+			.startsWith("text/event-stream");
 		try (InputStream body = response.body()) {
-			if (events) {
-				reading.readEvents(body);
+			if (isEventStream) {
+				reader.readEvents(body);
 			}
 			else {
-				reading.problem = Optional.of(new String(body.readAllBytes(), StandardCharsets.UTF_8));
+				reader.problem = Optional.of(new String(body.readAllBytes(), StandardCharsets.UTF_8));
 			}
 		}
 		catch (IOException ex) {
-			// The connection broke; what came until then is returned.
+			// The connection broke. The result holds what was received before.
 		}
 		return new StreamResult(response.statusCode(), response.headers().firstValue("Laneworks-Target").orElse(""),
-				response.headers().firstValue("Laneworks-Route").orElse(""), List.copyOf(reading.tokens),
-				reading.lastEventId, reading.total, reading.problem,
-				reading.nanos.stream().mapToLong(Long::longValue).toArray(), start);
+				response.headers().firstValue("Laneworks-Route").orElse(""), List.copyOf(reader.tokens),
+				reader.lastEventId, reader.reportedTokenCount, reader.problem,
+				reader.arrivalNanos.stream().mapToLong(Long::longValue).toArray(), startNanos);
 	}
 
 	/**
-	 * Reads the events of one answer.
+	 * Parser for the event stream of one response.
 	 */
-	private static final class Reading {
+	private static final class EventReader {
 
 		private final Consumer<String> onToken;
 
 		private final List<String> tokens = new ArrayList<>();
 
-		private final List<Long> nanos = new ArrayList<>();
+		private final List<Long> arrivalNanos = new ArrayList<>();
 
-		private String id = "";
+		private String currentEventId = "";
 
 		private String lastEventId = "";
 
-		private Optional<Long> total = Optional.empty();
+		private Optional<Long> reportedTokenCount = Optional.empty();
 
 		private Optional<String> problem = Optional.empty();
 
-		Reading(Consumer<String> onToken) {
+		EventReader(Consumer<String> onToken) {
 			this.onToken = onToken;
 		}
 
@@ -161,11 +165,11 @@
 			BufferedReader lines = new BufferedReader(new InputStreamReader(body, StandardCharsets.UTF_8));
 			String line = lines.readLine();
 			while (line != null) {
-				if (line.startsWith(ID)) {
-					this.id = line.substring(ID.length()).strip();
+				if (line.startsWith(ID_FIELD)) {
+					this.currentEventId = line.substring(ID_FIELD.length()).strip();
 				}
-				else if (line.startsWith(DATA)) {
-					onData(line.substring(DATA.length()).strip());
+				else if (line.startsWith(DATA_FIELD)) {
+					onData(line.substring(DATA_FIELD.length()).strip());
 				}
 				line = lines.readLine();
 			}
@@ -184,12 +188,12 @@
 			String text = choice.has("delta") ? choice.path("delta").path("content").asText("")
 					: choice.path("text").asText("");
 			if (json.has("usage")) {
-				this.total = Optional.of(json.path("usage").path("completion_tokens").asLong());
+				this.reportedTokenCount = Optional.of(json.path("usage").path("completion_tokens").asLong());
 			}
 			if (!text.isEmpty()) {
 				this.tokens.add(text);
-				this.nanos.add(System.nanoTime());
-				this.lastEventId = this.id;
+				this.arrivalNanos.add(System.nanoTime());
+				this.lastEventId = this.currentEventId;
 				this.onToken.accept(text);
 			}
 		}
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/client/StreamResult.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/client/StreamResult.java
@@ -4,33 +4,36 @@
 import java.util.Optional;
 
 /**
- * What a caller received of one answer.
+ * Result of a streamed request: the part of the response that the client received.
  *
  * @param status the HTTP status
- * @param target where it ran, or empty text
- * @param route why it ran there, or empty text
- * @param tokens the tokens in the order in which they came
- * @param lastEventId the identity of the last token's event, or empty text
- * @param total the count that the last event carried, if one came
- * @param problem the problem document that ended or refused it, if one came
- * @param tokenNanos when each token came
- * @param startNanos when the request was sent
+ * @param target the name of the target that executed the request, or an empty string
+ * @param route the reason for the choice of this target, or an empty string
+ * @param tokens the texts of the tokens in the order of arrival
+ * @param lastEventId the ID of the last token's event, or an empty string
+ * @param reportedTokenCount the number of output tokens according to the last event, or
+ * empty if it was not received
+ * @param problem the problem document with which the request was refused or the stream
+ * ended, or empty if there was none
+ * @param tokenNanos the arrival time of each token, as of {@link System#nanoTime()}
+ * @param startNanos the time at which the request was sent, on the same clock
  * @since 0.1
  */
 public record StreamResult(int status, String target, String route, List<String> tokens, String lastEventId,
-		Optional<Long> total, Optional<String> problem, long[] tokenNanos, long startNanos) {
+		Optional<Long> reportedTokenCount, Optional<String> problem, long[] tokenNanos, long startNanos) {
 
 	/**
-	 * Return whether the answer came whole.
-	 * @return {@code true} if its last event came and its count is right
+	 * Determine whether the response was received completely.
+	 * @return {@code true} if the reported number of tokens was received without a
+	 * problem
 	 */
-	public boolean isWhole() {
-		return this.total.filter((t) -> t == this.tokens.size()).isPresent() && this.problem.isEmpty();
+	public boolean isComplete() {
+		return this.reportedTokenCount.filter((t) -> t == this.tokens.size()).isPresent() && this.problem.isEmpty();
 	}
 
 	/**
-	 * Return the output.
-	 * @return the tokens put together
+	 * Return the text of the output.
+	 * @return the concatenated tokens
 	 */
 	public String text() {
 		return String.join("", this.tokens);
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/client/package-info.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/client/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A caller that streams, checks and measures answers.
+ * HTTP client that reads, checks and times streamed responses.
  */
 package dev.laneworks.standin.client;
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineListener.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineListener.java
@@ -1,33 +1,33 @@
 package dev.laneworks.standin.engine;
 
 /**
- * Hears what an engine does in a step.
+ * Listener for the events that an {@link EngineModel} produces while it executes a step.
  *
  * @since 0.1
  */
 public interface EngineListener {
 
 	/**
-	 * Hear of a token.
+	 * Handle a generated token.
 	 * @param name the generation's name
-	 * @param offset the number of tokens before it
-	 * @param atMicros when it was made
+	 * @param offset the token's position in the output, from 0
+	 * @param atMicros the time in microseconds at which it was generated
 	 */
 	void onToken(String name, int offset, long atMicros);
 
 	/**
-	 * Hear of the end of an output.
+	 * Handle the end of an output.
 	 * @param name the generation's name
-	 * @param total the tokens of the whole output
-	 * @param byLimit whether the limit ended it
-	 * @param atMicros when it ended
+	 * @param tokenCount the number of tokens in the output
+	 * @param limitReached {@code true} if the output was cut at the request's token limit
+	 * @param atMicros the time in microseconds at which it ended
 	 */
-	void onEnd(String name, int total, boolean byLimit, long atMicros);
+	void onEnd(String name, int tokenCount, boolean limitReached, long atMicros);
 
 	/**
-	 * Hear that a generation was pushed aside because memory was full.
+	 * Handle the preemption of a generation because memory was full.
 	 * @param name the generation's name
-	 * @param atMicros when
+	 * @param atMicros the time in microseconds at which it was preempted
 	 */
 	void onPreempted(String name, long atMicros);
 
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineModel.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineModel.java
@@ -10,22 +10,23 @@
 import java.util.Set;
 
 /**
- * Models an engine that batches continuously in a bounded memory, as pure code over
- * explicit time.
+ * Simulation of an engine with continuous batching and bounded memory, driven by
+ * timestamps that the caller passes in.
  * <p>
- * Each step takes a time that grows with the batch and with the prompt tokens worked
- * through in it, and gives each running generation one token. Generations wait by
- * priority, then by age. When memory is full the running generation of the lowest
- * priority that came last is pushed aside: its memory is freed and must be filled again,
- * prompt and output, before it goes on. Times are in microseconds. Not thread-safe.
+ * The duration of a step grows with the batch size and with the prompt tokens processed
+ * in it. Each step produces one token for each running generation whose prompt has been
+ * processed. Waiting generations are scheduled by priority, then by order of submission.
+ * When memory is full, the most recently submitted of the running generations with the
+ * lowest priority is preempted: its memory is freed, and its prompt and output must be
+ * processed again before it resumes. Times are in microseconds. Not thread-safe.
  *
  * @since 0.1
  */
 public final class EngineModel {
 
-	private static final Comparator<Sequence> FIRST_TO_RUN = Comparator
+	private static final Comparator<Sequence> SCHEDULING_ORDER = Comparator
 		.comparingInt((Sequence s) -> -s.request.priority())
-		.thenComparingLong((s) -> s.number);
+		.thenComparingLong((s) -> s.submissionNumber);
 
 	private final EngineSettings settings;
 
@@ -41,7 +42,7 @@
 
 	private long usedTokens;
 
-	private long count;
+	private long submissionCount;
 
 	private long stepEndsAt = -1;
 
@@ -49,9 +50,9 @@
 
 	/**
 	 * Create an idle engine.
-	 * @param settings how it behaves
-	 * @param cache keeps prompt prefixes
-	 * @param listener hears what it does
+	 * @param settings the memory size, batch size and step times
+	 * @param cache the cache of prompt prefixes whose tokens need no processing
+	 * @param listener notified of tokens, ends and preemptions
 	 */
 	public EngineModel(EngineSettings settings, PrefixCache cache, EngineListener listener) {
 		this.settings = settings;
@@ -60,12 +61,12 @@
 	}
 
 	/**
-	 * Take a request.
+	 * Queue a request, unless a generation of the same name exists.
 	 * @param request the request
-	 * @param now the time
+	 * @param now the current time in microseconds
 	 */
 	public void submit(EngineRequest request, long now) {
-		Sequence sequence = new Sequence(request, ++this.count);
+		Sequence sequence = new Sequence(request, ++this.submissionCount);
 		if (this.sequences.putIfAbsent(request.name(), sequence) == null) {
 			this.waiting.add(sequence);
 			beginStepIfIdle(now);
@@ -73,9 +74,9 @@
 	}
 
 	/**
-	 * Forget a generation and free its memory.
+	 * Discard a generation and free its memory.
 	 * @param name the generation's name
-	 * @return whether it was held
+	 * @return {@code true} if the generation existed
 	 */
 	public boolean cancel(String name) {
 		Sequence sequence = this.sequences.remove(name);
@@ -88,9 +89,9 @@
 	}
 
 	/**
-	 * Set a generation aside and free its memory until it is resumed.
+	 * Suspend a generation and free its memory until it is resumed.
 	 * @param name the generation's name
-	 * @return whether it was held
+	 * @return {@code true} if the generation exists
 	 */
 	public boolean pause(String name) {
 		Sequence sequence = this.sequences.get(name);
@@ -103,10 +104,10 @@
 	}
 
 	/**
-	 * Go on with a generation that was set aside.
+	 * Queue a paused generation again.
 	 * @param name the generation's name
-	 * @param now the time
-	 * @return whether it was held
+	 * @param now the current time in microseconds
+	 * @return {@code true} if the generation exists
 	 */
 	public boolean resume(String name, long now) {
 		Sequence sequence = this.sequences.get(name);
@@ -121,174 +122,174 @@
 	}
 
 	/**
-	 * Return when the step under way ends.
-	 * @return the time, or empty if the engine is idle
+	 * Return the time at which the current step ends.
+	 * @return the time in microseconds, or empty if the engine is idle
 	 */
 	public Optional<Long> stepEndsAt() {
 		return (this.stepEndsAt >= 0) ? Optional.of(this.stepEndsAt) : Optional.empty();
 	}
 
 	/**
-	 * End the step under way and begin the next.
+	 * Finish the current step and begin the next. An idle engine does nothing.
 	 */
 	public void step() {
 		if (this.stepEndsAt < 0) {
 			return;
 		}
-		long at = this.stepEndsAt;
+		long stepEnd = this.stepEndsAt;
 		for (Sequence sequence : new ArrayList<>(this.running)) {
 			if (this.running.contains(sequence)) {
-				emit(sequence, at);
+				emitToken(sequence, stepEnd);
 			}
 		}
 		this.stepEndsAt = -1;
-		beginStepIfIdle(at);
+		beginStepIfIdle(stepEnd);
 	}
 
 	/**
-	 * Return the tokens in memory.
-	 * @return the count
+	 * Return the memory in use.
+	 * @return the number of tokens
 	 */
 	public long usedTokens() {
 		return this.usedTokens;
 	}
 
 	/**
-	 * Return the generations in the batch.
-	 * @return the count
+	 * Return the current batch size.
+	 * @return the number of running generations
 	 */
 	public int runningCount() {
 		return this.running.size();
 	}
 
 	/**
-	 * Return the generations that wait.
-	 * @return the count
+	 * Return the length of the queue.
+	 * @return the number of waiting generations, without paused ones
 	 */
 	public int waitingCount() {
 		return this.waiting.size();
 	}
 
 	/**
-	 * Return how often a generation was pushed aside.
-	 * @return the count since the start
+	 * Return how often a generation was preempted.
+	 * @return the number of preemptions since the start
 	 */
 	public long preemptions() {
 		return this.preemptions;
 	}
 
 	/**
-	 * Return whether a generation is held.
+	 * Determine whether a generation is running, waiting or paused.
 	 * @param name the generation's name
-	 * @return {@code true} from its request to its end
+	 * @return {@code false} if it is unknown, finished or cancelled
 	 */
-	public boolean holds(String name) {
+	public boolean hasGeneration(String name) {
 		return this.sequences.containsKey(name);
 	}
 
-	private void emit(Sequence sequence, long at) {
-		if (sequence.prefillLeft > 0) {
+	private void emitToken(Sequence sequence, long stepEnd) {
+		if (sequence.remainingPrefillTokens > 0) {
 			return;
 		}
 		while (this.usedTokens >= this.settings.capacityTokens()) {
-			Sequence victim = this.running.stream().max(FIRST_TO_RUN).orElseThrow();
-			preempt(victim, at);
+			Sequence victim = this.running.stream().max(SCHEDULING_ORDER).orElseThrow();
+			preempt(victim, stepEnd);
 			if (victim == sequence) {
 				return;
 			}
 		}
 		this.usedTokens++;
-		sequence.heldTokens++;
-		int offset = sequence.output++;
-		this.listener.onToken(sequence.request.name(), offset, at);
-		if (sequence.output >= sequence.request.outputLength()) {
+		sequence.occupiedTokens++;
+		int offset = sequence.outputTokens++;
+		this.listener.onToken(sequence.request.name(), offset, stepEnd);
+		if (sequence.outputTokens >= sequence.request.outputLength()) {
 			this.sequences.remove(sequence.request.name());
 			freeMemory(sequence);
-			boolean byLimit = sequence.request.length() > sequence.request.limit();
-			this.listener.onEnd(sequence.request.name(), sequence.output, byLimit, at);
+			boolean limitReached = sequence.request.naturalLength() > sequence.request.maxTokens();
+			this.listener.onEnd(sequence.request.name(), sequence.outputTokens, limitReached, stepEnd);
 		}
 	}
 
-	private void preempt(Sequence sequence, long at) {
+	private void preempt(Sequence sequence, long stepEnd) {
 		this.preemptions++;
 		freeMemory(sequence);
 		this.waiting.add(sequence);
-		this.listener.onPreempted(sequence.request.name(), at);
+		this.listener.onPreempted(sequence.request.name(), stepEnd);
 	}
 
 	private void beginStepIfIdle(long now) {
 		if (this.stepEndsAt >= 0) {
 			return;
 		}
-		admit();
+		admitWaiting();
 		if (this.running.isEmpty()) {
 			return;
 		}
-		long prefill = prefill();
+		long prefillTokens = prefill();
 		this.stepEndsAt = now + this.settings.stepMicros() + this.running.size() * this.settings.stepMicrosPerSequence()
-				+ prefill * this.settings.prefillMicrosPerToken();
+				+ prefillTokens * this.settings.prefillMicrosPerToken();
 	}
 
-	private void admit() {
-		this.waiting.sort(FIRST_TO_RUN);
+	private void admitWaiting() {
+		this.waiting.sort(SCHEDULING_ORDER);
 		while (!this.waiting.isEmpty() && this.running.size() < this.settings.maxBatch()) {
 			Sequence next = this.waiting.get(0);
-			long need = (long) next.request.promptTokens() + next.output;
-			if (this.usedTokens + need + 1 > this.settings.capacityTokens() && !this.running.isEmpty()) {
+			long requiredTokens = (long) next.request.promptTokens() + next.outputTokens;
+			if (this.usedTokens + requiredTokens + 1 > this.settings.capacityTokens() && !this.running.isEmpty()) {
 				return;
 			}
 			this.waiting.remove(0);
-			next.heldTokens = need;
-			next.prefillLeft = need - cachedTokens(next);
-			this.usedTokens += need;
+			next.occupiedTokens = requiredTokens;
+			next.remainingPrefillTokens = requiredTokens - countCachedTokens(next);
+			this.usedTokens += requiredTokens;
 			this.running.add(next);
 		}
 	}
 
-	private long cachedTokens(Sequence sequence) {
+	private long countCachedTokens(Sequence sequence) {
 		EngineRequest request = sequence.request;
 		if (request.prefixHash() == 0 || request.prefixTokens() == 0) {
 			return 0;
 		}
-		return this.cache.use(request.prefixHash(), request.prefixTokens()) ? request.prefixTokens() : 0;
+		return this.cache.lookUpOrStore(request.prefixHash(), request.prefixTokens()) ? request.prefixTokens() : 0;
 	}
 
 	private long prefill() {
 		long budget = this.settings.prefillTokensPerStep();
-		long done = 0;
+		long processedTokens = 0;
 		for (Sequence sequence : this.running) {
-			long part = Math.min(sequence.prefillLeft, budget - done);
-			sequence.prefillLeft -= part;
-			done += part;
+			long tokens = Math.min(sequence.remainingPrefillTokens, budget - processedTokens);
+			sequence.remainingPrefillTokens -= tokens;
+			processedTokens += tokens;
 		}
-		return done;
+		return processedTokens;
 	}
 
 	private void freeMemory(Sequence sequence) {
 		if (this.running.remove(sequence)) {
-			this.usedTokens -= sequence.heldTokens;
-			sequence.heldTokens = 0;
+			this.usedTokens -= sequence.occupiedTokens;
+			sequence.occupiedTokens = 0;
 		}
 	}
 
 	/**
-	 * A generation in the engine.
+	 * Scheduling state of one generation.
 	 */
 	private static final class Sequence {
 
 		private final EngineRequest request;
 
-		private final long number;
+		private final long submissionNumber;
 
-		private int output;
+		private int outputTokens;
 
-		private long heldTokens;
+		private long occupiedTokens;
 
-		private long prefillLeft;
+		private long remainingPrefillTokens;
 
-		Sequence(EngineRequest request, long number) {
+		Sequence(EngineRequest request, long submissionNumber) {
 			this.request = request;
-			this.number = number;
+			this.submissionNumber = submissionNumber;
 		}
 
 	}
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineOutput.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineOutput.java
@@ -10,7 +10,8 @@
 import dev.laneworks.runtime.http.JsonText;
 
 /**
- * The output of a generation, and those who read it. Used on the engine's one thread.
+ * Output of a generation as a sequence of server-sent events, with the streams that read
+ * it. Confined to the engine's thread.
  */
 final class EngineOutput {
 
@@ -34,24 +35,24 @@
 		this.chat = chat;
 	}
 
-	// Sends a reader the output from an offset on, and all that follows.
-	void read(EventStream stream, int offset) {
+	// Sends the tokens from the offset on, and each later token when it is generated.
+	void attachReader(EventStream stream, int offset) {
 		this.readers.put(stream, offset);
-		pump(stream);
+		sendAvailable(stream);
 	}
 
-	void add(String token) {
+	void append(String token) {
 		this.tokens.add(token);
-		pumpAll();
+		sendAvailableToAll();
 	}
 
 	void end(String reason, long atMicros) {
 		this.finishReason = reason;
 		this.endedAt = atMicros;
-		pumpAll();
+		sendAvailableToAll();
 	}
 
-	void endReaders() {
+	void endStreams() {
 		this.readers.keySet().forEach(EventStream::end);
 	}
 
@@ -59,11 +60,11 @@
 		return this.finishReason != null && this.endedAt < timeMicros;
 	}
 
-	private void pumpAll() {
-		List.copyOf(this.readers.keySet()).forEach(this::pump);
+	private void sendAvailableToAll() {
+		List.copyOf(this.readers.keySet()).forEach(this::sendAvailable);
 	}
 
-	private void pump(EventStream stream) {
+	private void sendAvailable(EventStream stream) {
 		int offset = this.readers.get(stream);
 		while (offset < this.tokens.size()) {
 			stream.send(chunk(offset, this.tokens.get(offset), null));
@@ -78,7 +79,7 @@
 		}
 	}
 
-	private String chunk(int offset, String text, String finish) {
+	private String chunk(int offset, String text, String reasonOrNull) {
 		ObjectNode json = JsonText.object();
 		json.put("id", this.name);
 		json.put("object", this.chat ? "chat.completion.chunk" : "text_completion");
@@ -92,7 +93,7 @@
 		else {
 			choice.put("text", text);
 		}
-		choice.put("finish_reason", finish);
+		choice.put("finish_reason", reasonOrNull);
 		return json.toString();
 	}
 
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineRequest.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineRequest.java
@@ -1,26 +1,26 @@
 package dev.laneworks.standin.engine;
 
 /**
- * A request as an engine takes it.
+ * Request to an engine.
  *
  * @param name the generation's name
- * @param promptTokens the tokens of the prompt
- * @param prefixHash names the beginning of the prompt that may be cached, or 0
- * @param prefixTokens the tokens of that beginning
- * @param priority higher goes first
- * @param length the length of the output
- * @param limit the most tokens that the output may have
+ * @param promptTokens the number of tokens in the prompt
+ * @param prefixHash the hash of the prompt's cacheable prefix, or 0 if it has none
+ * @param prefixTokens the number of tokens in that prefix
+ * @param priority the priority; higher values are scheduled first
+ * @param naturalLength the number of tokens that the output has if it is not limited
+ * @param maxTokens the maximum number of tokens in the output
  * @since 0.1
  */
-public record EngineRequest(String name, int promptTokens, long prefixHash, int prefixTokens, int priority, int length,
-		int limit) {
+public record EngineRequest(String name, int promptTokens, long prefixHash, int prefixTokens, int priority,
+		int naturalLength, int maxTokens) {
 
 	/**
-	 * Return the length that the output will have.
-	 * @return tokens, at least 1
+	 * Return the length of the output with the limit applied.
+	 * @return the number of tokens, at least 1
 	 */
 	public int outputLength() {
-		return Math.max(1, Math.min(this.length, this.limit));
+		return Math.max(1, Math.min(this.naturalLength, this.maxTokens));
 	}
 
 }
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineServer.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineServer.java
@@ -18,22 +18,31 @@
 import io.undertow.util.StatusCodes;
 
 /**
- * Serves an {@link EngineModel} over the usual HTTP interface of engines, in real time.
+ * HTTP server that runs an {@link EngineModel} in real time behind an OpenAI-compatible
+ * interface.
  * <p>
  * {@code POST /v1/completions} and {@code /v1/chat/completions} start a generation named
- * by {@code X-Request-Id} and stream it; a name that is held already is streamed from its
- * beginning, never run again. {@code GET /v1/generations/NAME?offset=N} streams the rest,
- * {@code GET …/state} tells whether it is held, {@code DELETE} cancels,
- * {@code POST …/pause} and {@code …/resume} set aside and go on. {@code GET /v1/load}
- * reports load with a lag, {@code GET /v1/cache-events?after=N} tells of cached prefixes
- * late and with gaps. The request member {@code standin_length} sets the length of an
- * output.
+ * by {@code X-Request-Id} and stream its output. If such a generation exists, its output
+ * is streamed from the beginning and it is not executed again. The request member
+ * {@code standin_length} sets the length of the output in tokens. Further resources:
+ * <ul>
+ * <li>{@code GET /v1/generations/NAME?offset=N} streams the output from an offset</li>
+ * <li>{@code GET /v1/generations/NAME/state} returns 404 if the generation does not
+ * exist</li>
+ * <li>{@code DELETE /v1/generations/NAME} cancels a generation</li>
+ * <li>{@code POST /v1/generations/NAME/pause} and {@code …/resume} suspend and resume
+ * it</li>
+ * <li>{@code GET /v1/load} returns a delayed load report</li>
+ * <li>{@code GET /v1/cache-events?after=N} returns changes to the prefix cache, delayed
+ * and with gaps</li>
+ * <li>{@code GET /v1/runs} returns the number of executions of each generation</li>
+ * </ul>
  *
  * @since 0.1
  */
 public final class EngineServer {
 
-	private static final int RING = 8192;
+	private static final int QUEUE_CAPACITY = 8192;
 
 	private static final int CHARS_PER_TOKEN = 4;
 
@@ -50,35 +59,36 @@
 	private final EngineSettings settings;
 
 	/**
-	 * Create an engine.
-	 * @param address where to listen
-	 * @param settings how it behaves
+	 * Create an engine server.
+	 * @param address the address to listen on
+	 * @param settings the settings of the engine
 	 */
 	public EngineServer(InetSocketAddress address, EngineSettings settings) {
 		this.settings = settings;
 		this.supervisor = new Supervisor("engine", 3, Duration.ofSeconds(10), (ex) -> Runtime.getRuntime().halt(70));
-		this.duty = new Duty<>("engine", new EngineState(settings), RING, Duration.ofMillis(1), EngineState::run);
+		this.duty = new Duty<>("engine", new EngineState(settings), QUEUE_CAPACITY, Duration.ofMillis(1),
+				EngineState::advance);
 		this.server = Undertow.builder()
 			.setIoThreads(2)
 			.setWorkerThreads(4)
 			.addHttpListener(address.getPort(), address.getHostString())
 			.setHandler(Handlers.routing()
-				.post("/v1/completions", (e) -> start(e, false))
-				.post("/v1/chat/completions", (e) -> start(e, true))
-				.get("/v1/generations/{name}", this::attach)
-				.get("/v1/generations/{name}/state", (e) -> answer(e, (s) -> s.state(parameter(e, "name", ""))))
-				.delete("/v1/generations/{name}", (e) -> answer(e, (s) -> s.cancel(parameter(e, "name", ""))))
-				.post("/v1/generations/{name}/pause", (e) -> answer(e, (s) -> s.pause(parameter(e, "name", ""))))
-				.post("/v1/generations/{name}/resume", (e) -> answer(e, (s) -> s.resume(parameter(e, "name", ""))))
-				.get("/v1/load", (e) -> answer(e, EngineState::load))
+				.post("/v1/completions", (e) -> handleCompletion(e, false))
+				.post("/v1/chat/completions", (e) -> handleCompletion(e, true))
+				.get("/v1/generations/{name}", this::handleAttach)
+				.get("/v1/generations/{name}/state", (e) -> respond(e, (s) -> s.describe(parameter(e, "name", ""))))
+				.delete("/v1/generations/{name}", (e) -> respond(e, (s) -> s.cancel(parameter(e, "name", ""))))
+				.post("/v1/generations/{name}/pause", (e) -> respond(e, (s) -> s.pause(parameter(e, "name", ""))))
+				.post("/v1/generations/{name}/resume", (e) -> respond(e, (s) -> s.resume(parameter(e, "name", ""))))
+				.get("/v1/load", (e) -> respond(e, EngineState::load))
 				.get("/v1/cache-events",
-						(e) -> answer(e, (s) -> s.cacheEvents(Long.parseLong(parameter(e, "after", "0")))))
-				.get("/v1/runs", (e) -> answer(e, EngineState::runs)))
+						(e) -> respond(e, (s) -> s.cacheEvents(Long.parseLong(parameter(e, "after", "0")))))
+				.get("/v1/runs", (e) -> respond(e, EngineState::executionCounts)))
 			.build();
 	}
 
 	/**
-	 * Start to serve.
+	 * Start the engine and accept connections.
 	 */
 	public void start() {
 		this.supervisor.start(this.duty);
@@ -86,7 +96,8 @@
 	}
 
 	/**
-	 * End serving at once.
+	 * Stop the engine and close all connections without waiting for generations to
+	 * finish.
 	 */
 	public void stop() {
 		this.server.stop();
@@ -95,13 +106,13 @@
 
 	/**
 	 * Return the port that the engine listens on.
-	 * @return the port
+	 * @return the TCP port, also if the address asked for a free one
 	 */
 	public int port() {
 		return ((InetSocketAddress) this.server.getListenerInfo().get(0).getAddress()).getPort();
 	}
 
-	private void start(HttpServerExchange exchange, boolean chat) {
+	private void handleCompletion(HttpServerExchange exchange, boolean chat) {
 		exchange.getRequestReceiver().receiveFullBytes((e, body) -> {
 			JsonNode json;
 			try {
@@ -112,20 +123,20 @@
 				e.getResponseSender().send("not JSON");
 				return;
 			}
-			String given = e.getRequestHeaders().getFirst("X-Request-Id");
-			String name = (given != null) ? given : "anonymous-" + System.nanoTime();
+			String requestId = e.getRequestHeaders().getFirst("X-Request-Id");
+			String name = (requestId != null) ? requestId : "anonymous-" + System.nanoTime();
 			String priority = e.getRequestHeaders().getFirst("X-Priority");
-			EngineRequest request = request(name, (priority != null) ? Integer.parseInt(priority) : 1, json);
+			EngineRequest request = createRequest(name, (priority != null) ? Integer.parseInt(priority) : 1, json);
 			stream(e, name, 0, (s) -> s.submit(request, json.path("model").asText(""), chat));
 		});
 	}
 
-	private void attach(HttpServerExchange exchange) {
+	private void handleAttach(HttpServerExchange exchange) {
 		String name = parameter(exchange, "name", "");
 		int offset = Integer.parseInt(parameter(exchange, "offset", "0"));
 		exchange.dispatch();
 		this.duty.put((s) -> {
-			if (!s.holds(name)) {
+			if (!s.hasOutput(name)) {
 				exchange.setStatusCode(StatusCodes.NOT_FOUND);
 				exchange.getResponseSender().send("{\"error\":\"no such generation\"}");
 				return;
@@ -134,22 +145,22 @@
 		});
 	}
 
-	private void stream(HttpServerExchange exchange, String name, int offset, StartRule rule) {
+	private void stream(HttpServerExchange exchange, String name, int offset, StartAction startAction) {
 		exchange.dispatch();
 		this.duty.put((s) -> {
-			if (!rule.start(s)) {
+			if (!startAction.start(s)) {
 				exchange.setStatusCode(StatusCodes.GONE);
 				exchange.getResponseSender().send("{\"error\":\"the generation was cancelled\"}");
 				return;
 			}
-			EventStream.open(exchange, (stream) -> this.duty.put((t) -> t.read(name, stream, offset)));
+			EventStream.open(exchange, (stream) -> this.duty.put((t) -> t.attachReader(name, stream, offset)));
 		});
 	}
 
-	private void answer(HttpServerExchange exchange, Answer answer) {
+	private void respond(HttpServerExchange exchange, StateQuery query) {
 		exchange.dispatch();
 		this.duty.put((s) -> {
-			Object body = answer.of(s);
+			Object body = query.run(s);
 			if (body == null) {
 				exchange.setStatusCode(StatusCodes.NOT_FOUND);
 				exchange.getResponseSender().send("{\"error\":\"no such generation\"}");
@@ -160,7 +171,7 @@
 		});
 	}
 
-	private EngineRequest request(String name, int priority, JsonNode json) {
+	private EngineRequest createRequest(String name, int priority, JsonNode json) {
 		String prompt = json.has("messages") ? json.path("messages").toString() : json.path("prompt").asText("");
 		int promptTokens = Math.max(1, prompt.length() / CHARS_PER_TOKEN);
 		String prefix = prompt.substring(0, Math.min(prompt.length(), PREFIX_CHARS));
@@ -176,22 +187,23 @@
 	}
 
 	/**
-	 * Starts a generation unless its name may not run any more.
+	 * Starts a generation, or returns {@code false} if a generation of its name was
+	 * cancelled.
 	 */
 	@FunctionalInterface
-	private interface StartRule {
+	private interface StartAction {
 
 		boolean start(EngineState state);
 
 	}
 
 	/**
-	 * Makes an answer, or {@code null} if there is no such generation.
+	 * Produces a response body, or {@code null} if there is no such generation.
 	 */
 	@FunctionalInterface
-	private interface Answer {
+	private interface StateQuery {
 
-		Object of(EngineState state);
+		Object run(EngineState state);
 
 	}
 
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineState.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/EngineState.java
@@ -12,16 +12,16 @@
 import dev.laneworks.runtime.http.EventStream;
 
 /**
- * What the engine's one thread owns: the model in real time, outputs, and what is told of
- * load and cache late.
+ * State owned by the engine's thread: the model, which it runs in real time, the outputs,
+ * and the delayed reports of load and cache changes.
  */
 final class EngineState implements EngineListener {
 
-	/** How long a whole output can be read again, in microseconds; a chosen figure. */
-	private static final long HOLD_MICROS = TimeUnit.SECONDS.toMicros(60);
+	/** How long a finished output can still be read. */
+	private static final long OUTPUT_RETENTION_MICROS = TimeUnit.SECONDS.toMicros(60);
 
-	/** The most cache events that are kept; older ones are a gap to those who ask. */
-	private static final int MOST_CACHE_EVENTS = 8192;
+	/** Bounds the memory of the cache event log. */
+	private static final int MAX_CACHE_EVENTS = 8192;
 
 	private final EngineSettings settings;
 
@@ -33,38 +33,39 @@
 
 	private final Set<String> cancelled = new HashSet<>();
 
-	private final Map<String, Integer> runs = new HashMap<>();
+	private final Map<String, Integer> executionCounts = new HashMap<>();
 
 	private final Deque<CacheEvent> cacheEvents = new ArrayDeque<>();
 
-	private final Random losses;
+	private final Random eventLossRandom;
 
 	private long cacheEventCount;
 
-	private Load reported = new Load(0, 0, 0, 0, 0);
+	private Load reportedLoad = new Load(0, 0, 0, 0, 0);
 
-	private Load pending = new Load(0, 0, 0, 0, 0);
+	private Load pendingLoad = new Load(0, 0, 0, 0, 0);
 
-	private long reportedAt;
+	private long reportedAtMicros;
 
 	EngineState(EngineSettings settings) {
 		this.settings = settings;
 		this.text = new TokenText(settings);
-		this.losses = new Random(settings.seed());
-		this.model = new EngineModel(settings, new PrefixCache(settings.prefixCacheTokens(), this::cacheChanged), this);
+		this.eventLossRandom = new Random(settings.seed());
+		this.model = new EngineModel(settings, new PrefixCache(settings.prefixCacheTokens(), this::recordCacheChange),
+				this);
 	}
 
-	void run() {
+	void advance() {
 		long now = now();
 		while (this.model.stepEndsAt().filter((t) -> t <= now).isPresent()) {
 			this.model.step();
 		}
-		if (now - this.reportedAt >= TimeUnit.MILLISECONDS.toMicros(this.settings.reportLagMillis())) {
-			this.reportedAt = now;
-			this.reported = this.pending;
-			this.pending = new Load(this.model.runningCount(), this.model.waitingCount(), this.model.usedTokens(),
+		if (now - this.reportedAtMicros >= TimeUnit.MILLISECONDS.toMicros(this.settings.reportLagMillis())) {
+			this.reportedAtMicros = now;
+			this.reportedLoad = this.pendingLoad;
+			this.pendingLoad = new Load(this.model.runningCount(), this.model.waitingCount(), this.model.usedTokens(),
 					this.settings.capacityTokens(), this.model.preemptions());
-			this.outputs.values().removeIf((o) -> o.hasEndedBefore(now - HOLD_MICROS));
+			this.outputs.values().removeIf((o) -> o.hasEndedBefore(now - OUTPUT_RETENTION_MICROS));
 		}
 	}
 
@@ -72,29 +73,29 @@
 		if (this.cancelled.contains(request.name())) {
 			return false;
 		}
-		if (!holds(request.name())) {
-			this.runs.merge(request.name(), 1, Integer::sum);
+		if (!hasOutput(request.name())) {
+			this.executionCounts.merge(request.name(), 1, Integer::sum);
 			this.outputs.put(request.name(), new EngineOutput(request.name(), modelName, chat));
 			this.model.submit(request, now());
 		}
 		return true;
 	}
 
-	void read(String name, EventStream stream, int offset) {
+	void attachReader(String name, EventStream stream, int offset) {
 		EngineOutput output = this.outputs.get(name);
 		if (output == null) {
 			stream.end();
 			return;
 		}
-		output.read(stream, offset);
+		output.attachReader(stream, offset);
 	}
 
-	boolean holds(String name) {
+	boolean hasOutput(String name) {
 		return this.outputs.containsKey(name);
 	}
 
-	Object state(String name) {
-		return holds(name) ? Map.of("name", name) : null;
+	Object describe(String name) {
+		return hasOutput(name) ? Map.of("name", name) : null;
 	}
 
 	Object cancel(String name) {
@@ -104,7 +105,7 @@
 		if (output == null) {
 			return null;
 		}
-		output.endReaders();
+		output.endStreams();
 		return Map.of("cancelled", name);
 	}
 
@@ -117,47 +118,47 @@
 	}
 
 	Object load() {
-		return this.reported;
+		return this.reportedLoad;
 	}
 
-	// The names of all generations ever run and how often, for checks.
-	Object runs() {
-		return this.runs;
+	// Returns the number of executions of each generation, for tests.
+	Object executionCounts() {
+		return this.executionCounts;
 	}
 
 	Object cacheEvents(long after) {
-		long visible = now() - TimeUnit.MILLISECONDS.toMicros(this.settings.eventLagMillis());
-		return this.cacheEvents.stream().filter((e) -> e.number() > after && e.at() <= visible).toList();
+		long visibleUntil = now() - TimeUnit.MILLISECONDS.toMicros(this.settings.eventLagMillis());
+		return this.cacheEvents.stream().filter((e) -> e.number() > after && e.at() <= visibleUntil).toList();
 	}
 
 	@Override
 	public void onToken(String name, int offset, long atMicros) {
 		EngineOutput output = this.outputs.get(name);
 		if (output != null) {
-			output.add(this.text.token(name, offset));
+			output.append(this.text.token(name, offset));
 		}
 	}
 
 	@Override
-	public void onEnd(String name, int total, boolean byLimit, long atMicros) {
+	public void onEnd(String name, int tokenCount, boolean limitReached, long atMicros) {
 		EngineOutput output = this.outputs.get(name);
 		if (output != null) {
-			output.end(byLimit ? "length" : "stop", atMicros);
+			output.end(limitReached ? "length" : "stop", atMicros);
 		}
 	}
 
 	@Override
 	public void onPreempted(String name, long atMicros) {
-		// Counted by the model.
+		// The model counts preemptions.
 	}
 
-	private void cacheChanged(long hash, boolean stored) {
+	private void recordCacheChange(long hash, boolean stored) {
 		this.cacheEventCount++;
-		if (this.losses.nextDouble() < this.settings.eventLossShare()) {
+		if (this.eventLossRandom.nextDouble() < this.settings.eventLossRate()) {
 			return;
 		}
 		this.cacheEvents.addLast(new CacheEvent(this.cacheEventCount, now(), hash, stored));
-		if (this.cacheEvents.size() > MOST_CACHE_EVENTS) {
+		if (this.cacheEvents.size() > MAX_CACHE_EVENTS) {
 			this.cacheEvents.removeFirst();
 		}
 	}
@@ -167,14 +168,14 @@
 	}
 
 	/**
-	 * A load report.
+	 * Load report as it is written to JSON.
 	 */
 	private record Load(int running, int waiting, long usedTokens, long capacityTokens, long preemptions) {
 
 	}
 
 	/**
-	 * A prefix stored or dropped.
+	 * Prefix that was stored or evicted, as it is written to JSON.
 	 */
 	private record CacheEvent(long number, long at, long hash, boolean stored) {
 
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/PrefixCache.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/PrefixCache.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Keeps the prompt prefixes used last, within a bound of tokens.
+ * LRU cache of prompt prefixes, bounded by their total number of tokens.
  * <p>
  * Not thread-safe.
  *
@@ -23,12 +23,12 @@
 
 	private final Map<Long, Integer> prefixes = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
-	private long tokens;
+	private long totalTokens;
 
 	/**
 	 * Create an empty cache.
-	 * @param capacityTokens the most tokens kept
-	 * @param listener hears of changes
+	 * @param capacityTokens the maximum total number of tokens
+	 * @param listener notified when a prefix is stored or evicted
 	 */
 	public PrefixCache(long capacityTokens, Listener listener) {
 		this.capacityTokens = capacityTokens;
@@ -36,38 +36,39 @@
 	}
 
 	/**
-	 * Use a prefix, keeping it from now on.
-	 * @param hash names the prefix
-	 * @param length its tokens
-	 * @return whether it was kept before
+	 * Look up a prefix and store it if it is absent, evicting the least recently used
+	 * prefixes above the capacity.
+	 * @param hash the prefix's hash
+	 * @param tokenCount the number of tokens in the prefix
+	 * @return {@code true} if the prefix was present
 	 */
-	public boolean use(long hash, int length) {
+	public boolean lookUpOrStore(long hash, int tokenCount) {
 		if (this.prefixes.get(hash) != null) {
 			return true;
 		}
-		this.prefixes.put(hash, length);
-		this.tokens += length;
+		this.prefixes.put(hash, tokenCount);
+		this.totalTokens += tokenCount;
 		this.listener.onChange(hash, true);
-		Iterator<Map.Entry<Long, Integer>> oldest = this.prefixes.entrySet().iterator();
-		while (this.tokens > this.capacityTokens && oldest.hasNext()) {
-			Map.Entry<Long, Integer> dropped = oldest.next();
-			oldest.remove();
-			this.tokens -= dropped.getValue();
-			this.listener.onChange(dropped.getKey(), false);
+		Iterator<Map.Entry<Long, Integer>> eldest = this.prefixes.entrySet().iterator();
+		while (this.totalTokens > this.capacityTokens && eldest.hasNext()) {
+			Map.Entry<Long, Integer> evicted = eldest.next();
+			eldest.remove();
+			this.totalTokens -= evicted.getValue();
+			this.listener.onChange(evicted.getKey(), false);
 		}
 		return false;
 	}
 
 	/**
-	 * Hears of changes.
+	 * Listener for changes to the cache's content.
 	 */
 	@FunctionalInterface
 	public interface Listener {
 
 		/**
-		 * Hear of a change.
-		 * @param hash names the prefix
-		 * @param stored whether it was stored rather than dropped
+		 * Handle the storing or eviction of a prefix.
+		 * @param hash the prefix's hash
+		 * @param stored {@code true} if it was stored, {@code false} if it was evicted
 		 */
 		void onChange(long hash, boolean stored);
 
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/TokenText.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/TokenText.java
@@ -3,8 +3,8 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Makes up the text of tokens and the length of outputs, the same for the same names and
- * seed.
+ * Deterministic generator of token texts and output lengths from a generation's name and
+ * the seed.
  */
 final class TokenText {
 
@@ -16,7 +16,7 @@
 
 	private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-	private static final double LONG_RANGE = 0x1.0p-53;
+	private static final double UNIT_SCALE = 0x1.0p-53;
 
 	private final EngineSettings settings;
 
@@ -25,7 +25,7 @@
 	}
 
 	String token(String name, int offset) {
-		if (this.settings.numbers()) {
+		if (this.settings.numberedTokens()) {
 			return name + '#' + offset + ' ';
 		}
 		long hash = HASH.hashChars(name) + offset * 0x9E3779B97F4A7C15L;
@@ -33,15 +33,15 @@
 	}
 
 	int length(String name) {
-		double u1 = unit(HASH.hashChars(name) ^ this.settings.seed());
-		double u2 = unit(HASH.hashChars(name) * 31 + this.settings.seed());
-		double normal = Math.sqrt(-2 * Math.log(u1)) * Math.cos(2 * Math.PI * u2);
-		return (int) Math.max(1, this.settings.medianLength() * Math.exp(this.settings.lengthSigma() * normal));
+		double u1 = toUnitInterval(HASH.hashChars(name) ^ this.settings.seed());
+		double u2 = toUnitInterval(HASH.hashChars(name) * 31 + this.settings.seed());
+		double gaussian = Math.sqrt(-2 * Math.log(u1)) * Math.cos(2 * Math.PI * u2);
+		return (int) Math.max(1, this.settings.medianLength() * Math.exp(this.settings.lengthSigma() * gaussian));
 	}
 
-	private static double unit(long hash) {
+	private static double toUnitInterval(long hash) {
 		long mixed = (hash ^ (hash >>> 31)) * 0xBF58476D1CE4E5B9L;
-		return ((mixed ^ (mixed >>> 29)) >>> 11) * LONG_RANGE + Double.MIN_NORMAL;
+		return ((mixed ^ (mixed >>> 29)) >>> 11) * UNIT_SCALE + Double.MIN_NORMAL;
 	}
 
 }
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/engine/package-info.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/engine/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A stand-in for a model engine that batches continuously in a bounded memory.
+ * Stand-in for a model engine with continuous batching and bounded memory.
  */
 package dev.laneworks.standin.engine;
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/forward/Forwarder.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/forward/Forwarder.java
@@ -12,11 +12,10 @@
 import java.util.List;
 
 /**
- * Forwards TCP connections to another address, and can cut them wholly or in one
- * direction.
+ * TCP forwarder that can stall its connections in one direction, close them and refuse
+ * new ones, to simulate network faults in tests.
  * <p>
- * A cut direction loses nothing at once: bytes wait in the forwarder, as they would
- * behind a stalled link. Thread-safe.
+ * Data of a stalled direction is sent when the direction is released. Thread-safe.
  *
  * @since 0.1
  */
@@ -26,78 +25,78 @@
 
 	private final ServerSocket server;
 
-	private final InetSocketAddress to;
+	private final InetSocketAddress destination;
 
 	private final List<Socket> sockets = new ArrayList<>();
 
-	private boolean cutForward;
+	private boolean stallForward;
 
-	private boolean cutBackward;
+	private boolean stallBackward;
 
-	private boolean refusing;
+	private boolean refuseConnections;
 
 	/**
 	 * Create a forwarder on a free port of the loopback interface.
-	 * @param to where connections go
+	 * @param destination the address that connections are forwarded to
 	 */
-	public Forwarder(InetSocketAddress to) {
-		this(0, to);
+	public Forwarder(InetSocketAddress destination) {
+		this(0, destination);
 	}
 
 	/**
 	 * Create a forwarder on the loopback interface.
-	 * @param port where to listen, or 0 for a free port
-	 * @param to where connections go
+	 * @param port the port to listen on, or 0 for a free port
+	 * @param destination the address that connections are forwarded to
 	 */
-	public Forwarder(int port, InetSocketAddress to) {
-		this.to = to;
+	public Forwarder(int port, InetSocketAddress destination) {
+		this.destination = destination;
 		try {
 			this.server = new ServerSocket(port, 128, InetAddress.getLoopbackAddress());
 		}
 		catch (IOException ex) {
-			throw new UncheckedIOException("can't listen", ex);
+			throw new UncheckedIOException("cannot listen on the loopback interface", ex);
 		}
-		daemon(this::acceptAll);
+		startDaemon(this::acceptConnections);
 	}
 
 	/**
 	 * Return the port that the forwarder listens on.
-	 * @return the port
+	 * @return the TCP port on the loopback interface
 	 */
 	public int port() {
 		return this.server.getLocalPort();
 	}
 
 	/**
-	 * Stall or release the bytes from those who connected.
-	 * @param cut whether to stall them
+	 * Stall or release the data that clients send.
+	 * @param stall {@code true} to stall it, {@code false} to release it
 	 */
-	public synchronized void cutForward(boolean cut) {
-		this.cutForward = cut;
+	public synchronized void stallForward(boolean stall) {
+		this.stallForward = stall;
 		notifyAll();
 	}
 
 	/**
-	 * Stall or release the bytes towards those who connected.
-	 * @param cut whether to stall them
+	 * Stall or release the data that clients receive.
+	 * @param stall {@code true} to stall it, {@code false} to release it
 	 */
-	public synchronized void cutBackward(boolean cut) {
-		this.cutBackward = cut;
+	public synchronized void stallBackward(boolean stall) {
+		this.stallBackward = stall;
 		notifyAll();
 	}
 
 	/**
-	 * Close all connections, and refuse new ones or take them again.
-	 * @param refuse whether new ones are refused
+	 * Close all connections, and refuse or accept new ones.
+	 * @param refuseNew {@code true} to refuse new connections
 	 */
-	public void breakAll(boolean refuse) {
-		List<Socket> open;
+	public void closeConnections(boolean refuseNew) {
+		List<Socket> openSockets;
 		synchronized (this) {
-			this.refusing = refuse;
-			open = new ArrayList<>(this.sockets);
+			this.refuseConnections = refuseNew;
+			openSockets = new ArrayList<>(this.sockets);
 			this.sockets.clear();
 		}
-		open.forEach(Forwarder::closeQuietly);
+		openSockets.forEach(Forwarder::closeQuietly);
 	}
 
 	@Override
@@ -108,64 +107,65 @@
 		catch (IOException ex) {
 			// Nothing is left to close.
 		}
-		breakAll(true);
+		closeConnections(true);
 	}
 
-	private void acceptAll() {
+	private void acceptConnections() {
 		while (!this.server.isClosed()) {
 			try {
 				forward(this.server.accept());
 			}
 			catch (IOException ex) {
-				// The server was closed, or the connection broke before it was taken.
+				// The forwarder was closed, or the connection broke before it was
+				// accepted.
 			}
 		}
 	}
 
-	private void forward(Socket from) throws IOException {
+	private void forward(Socket client) throws IOException {
 		synchronized (this) {
-			if (this.refusing) {
-				closeQuietly(from);
+			if (this.refuseConnections) {
+				closeQuietly(client);
 				return;
 			}
 		}
-		Socket onward = new Socket();
+		Socket upstream = new Socket();
 		try {
-			onward.connect(this.to);
+			upstream.connect(this.destination);
 		}
 		catch (IOException ex) {
-			closeQuietly(from);
+			closeQuietly(client);
 			return;
 		}
-		from.setTcpNoDelay(true);
-		onward.setTcpNoDelay(true);
+		client.setTcpNoDelay(true);
+		upstream.setTcpNoDelay(true);
 		synchronized (this) {
-			this.sockets.add(from);
-			this.sockets.add(onward);
+			this.sockets.add(client);
+			this.sockets.add(upstream);
 		}
-		daemon(() -> copy(from, onward, true));
-		daemon(() -> copy(onward, from, false));
+		startDaemon(() -> copy(client, upstream, true));
+		startDaemon(() -> copy(upstream, client, false));
 	}
 
-	private void copy(Socket from, Socket onward, boolean forward) {
+	private void copy(Socket source, Socket sink, boolean forward) {
 		byte[] buffer = new byte[BUFFER_BYTES];
-		try (InputStream in = from.getInputStream(); OutputStream out = onward.getOutputStream()) {
+		try (InputStream in = source.getInputStream(); OutputStream out = sink.getOutputStream()) {
 			int count = in.read(buffer);
 			while (count >= 0) {
-				awaitRelease(forward);
+				awaitNotStalled(forward);
 				out.write(buffer, 0, count);
 				count = in.read(buffer);
 			}
 		}
 		catch (IOException ex) {
-			// Either side closed, or the connection was cut.
+			// One side closed the connection, or closeConnections was called.
 		}
-		closeQuietly(from);
-		closeQuietly(onward);
+		closeQuietly(source);
+		closeQuietly(sink);
 	}
 
-	private synchronized void awaitRelease(boolean forward) throws IOException {
-		while (forward ? this.cutForward : this.cutBackward) {
+	private synchronized void awaitNotStalled(boolean forward) throws IOException {
+		while (forward ? this.stallForward : this.stallBackward) {
 			try {
 				wait();
 			}
@@ -175,7 +175,7 @@
 		}
 	}
 
-	private static void daemon(Runnable task) {
+	private static void startDaemon(Runnable task) {
 		Thread thread = new Thread(task, "forwarder");
 		thread.setDaemon(true);
 		thread.start();
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/forward/package-info.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/forward/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A forwarder between two processes whose links can be cut.
+ * TCP forwarder that simulates network faults between two processes.
  */
 package dev.laneworks.standin.forward;
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/package-info.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Launches the stand-ins.
+ * Command-line program that starts the stand-ins.
  */
 package dev.laneworks.standin;
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/platform/PlatformServer.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/platform/PlatformServer.java
@@ -22,14 +22,13 @@
 import io.undertow.util.StatusCodes;
 
 /**
- * Stands in for the platform: a configuration service that can be read and watched, and a
- * live list.
+ * Stand-in for the platform: a configuration service with long polling, and a list of
+ * live instances. Used by tests, benchmarks and the demo.
  * <p>
- * The publishing tool of the platform is {@code PUT /publish} with the document, which is
- * not checked: checking is up to those who read it. {@code PUT /instances} sets the live
- * list. {@code PUT /fault?mode=none|down|stale} makes the service fail, or answer with
- * the document it held when the fault began. {@code GET /calls} counts the calls of
- * readers.
+ * {@code PUT /publish} replaces the configuration document without validating it, because
+ * its consumers validate it. {@code PUT /instances} replaces the list of live instances.
+ * {@code PUT /fault?mode=none|down|stale} injects a {@link Fault}. {@code GET /calls}
+ * returns the number of requests for the configuration and the list. Thread-safe.
  *
  * @since 0.1
  */
@@ -39,7 +38,7 @@
 
 	private final Undertow server;
 
-	private final AtomicLong calls = new AtomicLong();
+	private final AtomicLong requestCount = new AtomicLong();
 
 	private final List<Watch> watches = new ArrayList<>();
 
@@ -47,13 +46,13 @@
 
 	private Fault fault = Fault.NONE;
 
-	private Document document = new Document(0, "");
+	private Document latestDocument = new Document(0, "");
 
-	private Document shown = this.document;
+	private Document servedDocument = this.latestDocument;
 
 	/**
-	 * Create a platform that holds nothing.
-	 * @param address where to listen
+	 * Create a platform without a configuration document and without instances.
+	 * @param address the address to listen on
 	 */
 	public PlatformServer(InetSocketAddress address) {
 		this.server = Undertow.builder()
@@ -61,25 +60,27 @@
 			.setWorkerThreads(4)
 			.addHttpListener(address.getPort(), address.getHostString())
 			.setHandler(Handlers.routing()
-				.get("/configuration", this::configuration)
-				.get("/instances", this::instances)
-				.get("/calls", (e) -> e.getResponseSender().send(String.valueOf(this.calls.get())))
-				.put("/publish", (e) -> e.getRequestReceiver().receiveFullString(this::publish, StandardCharsets.UTF_8))
+				.get("/configuration", this::handleConfiguration)
+				.get("/instances", this::handleInstances)
+				.get("/calls", (e) -> e.getResponseSender().send(String.valueOf(this.requestCount.get())))
+				.put("/publish",
+						(e) -> e.getRequestReceiver().receiveFullString(this::handlePublish, StandardCharsets.UTF_8))
 				.put("/instances",
-						(e) -> e.getRequestReceiver().receiveFullString(this::setInstances, StandardCharsets.UTF_8))
-				.put("/fault", this::setFault))
+						(e) -> e.getRequestReceiver()
+							.receiveFullString(this::handleSetInstances, StandardCharsets.UTF_8))
+				.put("/fault", this::handleSetFault))
 			.build();
 	}
 
 	/**
-	 * Start to serve.
+	 * Start to accept connections.
 	 */
 	public void start() {
 		this.server.start();
 	}
 
 	/**
-	 * End serving at once.
+	 * Stop the server and close all connections.
 	 */
 	public void stop() {
 		this.server.stop();
@@ -87,15 +88,16 @@
 
 	/**
 	 * Return the port that the platform listens on.
-	 * @return the port
+	 * @return the TCP port, also if the address asked for a free one
 	 */
 	public int port() {
 		return ((InetSocketAddress) this.server.getListenerInfo().get(0).getAddress()).getPort();
 	}
 
 	/**
-	 * Hold a document from now on.
-	 * @param text the document
+	 * Publish a configuration document and answer the pending long polls for it. An
+	 * invalid document is published under the next version.
+	 * @param text the document, not necessarily valid
 	 */
 	public void publish(String text) {
 		long version = ConfigurationParser.parse("published", text)
@@ -103,57 +105,57 @@
 			.getOrElse(() -> nextVersion());
 		List<Watch> ready;
 		synchronized (this) {
-			this.document = new Document(version, text);
+			this.latestDocument = new Document(version, text);
 			if (this.fault == Fault.NONE) {
-				this.shown = this.document;
+				this.servedDocument = this.latestDocument;
 			}
-			ready = takeReady();
+			ready = removeReadyWatches();
 		}
-		ready.forEach((w) -> answer(w.exchange()));
+		ready.forEach((w) -> respond(w.exchange()));
 	}
 
 	/**
-	 * Make the service fail from now on, or work again.
-	 * @param newFault how it fails
+	 * Inject a fault, or clear it.
+	 * @param newFault the fault, or {@link Fault#NONE} to clear it
 	 */
 	public void setFault(Fault newFault) {
 		List<Watch> ready;
 		synchronized (this) {
 			this.fault = newFault;
 			if (newFault == Fault.NONE) {
-				this.shown = this.document;
+				this.servedDocument = this.latestDocument;
 			}
-			ready = (newFault == Fault.DOWN) ? takeAll() : takeReady();
+			ready = (newFault == Fault.DOWN) ? removeAllWatches() : removeReadyWatches();
 		}
-		ready.forEach((w) -> answer(w.exchange()));
+		ready.forEach((w) -> respond(w.exchange()));
 	}
 
 	/**
-	 * Return how many calls readers made.
-	 * @return the count since the start
+	 * Return the number of requests for the configuration and the list of instances.
+	 * @return the number of requests since the start
 	 */
-	public long calls() {
-		return this.calls.get();
+	public long requestCount() {
+		return this.requestCount.get();
 	}
 
 	private synchronized long nextVersion() {
-		return this.document.version() + 1;
+		return this.latestDocument.version() + 1;
 	}
 
-	private void configuration(HttpServerExchange exchange) {
-		this.calls.incrementAndGet();
+	private void handleConfiguration(HttpServerExchange exchange) {
+		this.requestCount.incrementAndGet();
 		long after = Long.parseLong(parameter(exchange, "after", "0"));
 		long wait = Math.min(MAX_WAIT_SECONDS, Long.parseLong(parameter(exchange, "wait", "0")));
 		exchange.dispatch();
 		synchronized (this) {
-			if (this.fault != Fault.DOWN && this.shown.version() <= after && wait > 0) {
+			if (this.fault != Fault.DOWN && this.servedDocument.version() <= after && wait > 0) {
 				Watch watch = new Watch(exchange, after);
 				this.watches.add(watch);
 				exchange.getIoThread().executeAfter(() -> expire(watch), wait, TimeUnit.SECONDS);
 				return;
 			}
 		}
-		answer(exchange);
+		respond(exchange);
 	}
 
 	private void expire(Watch watch) {
@@ -162,13 +164,13 @@
 				return;
 			}
 		}
-		answer(watch.exchange());
+		respond(watch.exchange());
 	}
 
-	private void answer(HttpServerExchange exchange) {
-		Document now;
+	private void respond(HttpServerExchange exchange) {
+		Document current;
 		synchronized (this) {
-			now = this.shown;
+			current = this.servedDocument;
 			if (this.fault == Fault.DOWN) {
 				exchange.setStatusCode(StatusCodes.SERVICE_UNAVAILABLE);
 				exchange.getResponseSender().send("down");
@@ -176,63 +178,63 @@
 			}
 		}
 		long after = Long.parseLong(parameter(exchange, "after", "0"));
-		ObjectNode json = JsonText.object().put("version", now.version());
-		if (now.version() > after) {
-			json.put("document", now.text());
+		ObjectNode json = JsonText.object().put("version", current.version());
+		if (current.version() > after) {
+			json.put("document", current.text());
 		}
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
 		exchange.getResponseSender().send(json.toString());
 	}
 
-	private List<Watch> takeReady() {
-		List<Watch> ready = this.watches.stream().filter((w) -> this.shown.version() > w.after()).toList();
+	private List<Watch> removeReadyWatches() {
+		List<Watch> ready = this.watches.stream().filter((w) -> this.servedDocument.version() > w.after()).toList();
 		this.watches.removeAll(ready);
 		return ready;
 	}
 
-	private List<Watch> takeAll() {
+	private List<Watch> removeAllWatches() {
 		List<Watch> all = List.copyOf(this.watches);
 		this.watches.clear();
 		return all;
 	}
 
-	private void instances(HttpServerExchange exchange) {
-		this.calls.incrementAndGet();
-		List<ObjectNode> shownInstances = new ArrayList<>();
+	private void handleInstances(HttpServerExchange exchange) {
+		this.requestCount.incrementAndGet();
+		List<ObjectNode> instanceNodes = new ArrayList<>();
 		synchronized (this) {
 			String name = parameter(exchange, "name", "");
 			for (LiveInstance instance : this.instances.values()) {
 				if (!name.isEmpty() && !name.equals(instance.name())) {
 					continue;
 				}
-				shownInstances.add(JsonText.object()
+				instanceNodes.add(JsonText.object()
 					.put("name", instance.name())
 					.put("state", instance.leaving() ? "leaving" : "live"));
 			}
 		}
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-		exchange.getResponseSender().send(JsonText.write(shownInstances));
+		exchange.getResponseSender().send(JsonText.write(instanceNodes));
 	}
 
-	private void publish(HttpServerExchange exchange, String text) {
+	private void handlePublish(HttpServerExchange exchange, String text) {
 		publish(text);
 		exchange.getResponseSender().send("published\n");
 	}
 
-	// The body has a line for each instance: its name and "live" or "leaving".
-	private void setInstances(HttpServerExchange exchange, String text) {
+	// The body has one line per instance: its name and "live" or "leaving".
+	private void handleSetInstances(HttpServerExchange exchange, String text) {
 		synchronized (this) {
 			this.instances.clear();
 			text.lines().filter((l) -> !l.isBlank()).forEach((l) -> {
-				String[] words = l.strip().split("\\s+");
-				this.instances.put(words[0],
-						new LiveInstance(words[0], words.length > 1 && words[1].equals("leaving")));
+				String[] fields = l.strip().split("\\s+");
+				this.instances.put(fields[0],
+						new LiveInstance(fields[0], fields.length > 1 && fields[1].equals("leaving")));
 			});
 		}
 		exchange.getResponseSender().send("set\n");
 	}
 
-	private void setFault(HttpServerExchange exchange) {
+	private void handleSetFault(HttpServerExchange exchange) {
 		setFault(Fault.valueOf(parameter(exchange, "mode", "none").toUpperCase(Locale.ROOT)));
 		exchange.getResponseSender().send("set\n");
 	}
@@ -243,17 +245,19 @@
 	}
 
 	/**
-	 * How the service fails.
+	 * Fault of the configuration service.
 	 */
 	public enum Fault {
 
-		/** It works. */
+		/** The service works normally. */
 		NONE,
 
-		/** It answers every call with 503. */
+		/** The service answers each request for the configuration with status 503. */
 		DOWN,
 
-		/** It goes on with the document it held when the fault began. */
+		/**
+		 * The service returns the document that was current when the fault was injected.
+		 */
 		STALE
 
 	}
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/platform/package-info.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A stand-in for the platform's configuration service and live list.
+ * Stand-in for the platform's configuration service and its list of live instances.
  */
 package dev.laneworks.standin.platform;
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/service/PlainServer.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/service/PlainServer.java
@@ -12,8 +12,8 @@
 import io.undertow.util.Headers;
 
 /**
- * Stands in for a plain service: answers every call after a fixed time with what it was
- * asked and how often.
+ * Stand-in for a plain service. Responds to each request after a fixed delay with the
+ * request's method, path and body and the number of requests for the path so far.
  *
  * @since 0.1
  */
@@ -23,12 +23,12 @@
 
 	private final long delayMillis;
 
-	private final ConcurrentHashMap<String, AtomicInteger> calls = new ConcurrentHashMap<>();
+	private final ConcurrentHashMap<String, AtomicInteger> requestCounts = new ConcurrentHashMap<>();
 
 	/**
 	 * Create a service.
-	 * @param address where to listen
-	 * @param delayMillis how long each call takes, in milliseconds
+	 * @param address the address to listen on
+	 * @param delayMillis the delay of each response, in milliseconds
 	 */
 	public PlainServer(InetSocketAddress address, long delayMillis) {
 		this.delayMillis = delayMillis;
@@ -36,19 +36,19 @@
 			.setIoThreads(2)
 			.setWorkerThreads(4)
 			.addHttpListener(address.getPort(), address.getHostString())
-			.setHandler((e) -> e.getRequestReceiver().receiveFullString(this::answer))
+			.setHandler((e) -> e.getRequestReceiver().receiveFullString(this::respond))
 			.build();
 	}
 
 	/**
-	 * Start to serve.
+	 * Start to accept connections.
 	 */
 	public void start() {
 		this.server.start();
 	}
 
 	/**
-	 * End serving at once.
+	 * Stop the server and close all connections.
 	 */
 	public void stop() {
 		this.server.stop();
@@ -56,15 +56,15 @@
 
 	/**
 	 * Return the port that the service listens on.
-	 * @return the port
+	 * @return the TCP port, also if the address asked for a free one
 	 */
 	public int port() {
 		return ((InetSocketAddress) this.server.getListenerInfo().get(0).getAddress()).getPort();
 	}
 
-	private void answer(HttpServerExchange exchange, String body) {
+	private void respond(HttpServerExchange exchange, String body) {
 		String path = exchange.getRequestPath();
-		int count = this.calls.computeIfAbsent(path, (p) -> new AtomicInteger()).incrementAndGet();
+		int count = this.requestCounts.computeIfAbsent(path, (p) -> new AtomicInteger()).incrementAndGet();
 		ObjectNode json = JsonText.object()
 			.put("method", exchange.getRequestMethod().toString())
 			.put("path", path)
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/service/package-info.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/service/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A stand-in for a plain service.
+ * Stand-in for a plain service.
  */
 package dev.laneworks.standin.service;
