--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -154,18 +154,18 @@
 	 * @param update the load update, complete or partial
 	 * @param now the current time in milliseconds
 	 */
-	public void received(String from, EntryNews update, long now) {
+	public void received(String from, LoadUpdate update, long now) {
 		Optional<Peer> knownPeer = this.known.at(from);
 		if (this.updates.isFromThisProcess(update) || knownPeer.filter((p) -> !p.isReplacedBy(update)).isPresent()) {
 			return;
 		}
-		if (update.ending()) {
+		if (update.shuttingDown()) {
 			removePeer(from, "it shuts down");
 			return;
 		}
 		this.known.apply(from, update, now);
 		update.work().stream().filter(WorkAtTarget::leaving).forEach((w) -> this.outputs.heardLeaving(w.target()));
-		this.outputs.heardNeeds(update.needs());
+		this.outputs.heardNeeds(update.signals());
 		if (knownPeer.isEmpty()) {
 			this.audit
 				.record(AuditEvent.of(AuditKind.MEMBERSHIP, update.instance(), "", "entry discovered at " + from));
@@ -416,15 +416,15 @@
 		send(addresses, allWork(this.settings.heartbeatMillis()), now);
 	}
 
-	private EntryNews allWork(long againMillis) {
+	private LoadUpdate allWork(long againMillis) {
 		return this.updates.ofAllWork(againMillis, this.selector.peersToAdvertise());
 	}
 
-	private EntryNews workAt(Set<TargetRun> targets) {
+	private LoadUpdate workAt(Set<TargetRun> targets) {
 		return this.updates.ofWorkAt(targets, this.settings.heartbeatMillis());
 	}
 
-	private void send(Collection<String> addresses, EntryNews update, long now) {
+	private void send(Collection<String> addresses, LoadUpdate update, long now) {
 		this.lastSentAt = now;
 		addresses.forEach((a) -> this.outputs.send(a, update));
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
@@ -16,7 +16,7 @@
 	 * @param address the address of the entry, {@code IP:PORT}
 	 * @param update the load update, complete or partial
 	 */
-	void send(String address, EntryNews update);
+	void send(String address, LoadUpdate update);
 
 	/**
 	 * Handle a report of another entry that a target is draining.
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
@@ -47,8 +47,8 @@
 		return this.ending;
 	}
 
-	boolean isFromThisProcess(EntryNews news) {
-		return news.incarnation() == this.incarnation;
+	boolean isFromThisProcess(LoadUpdate update) {
+		return update.incarnation() == this.incarnation;
 	}
 
 	/**
@@ -58,7 +58,7 @@
 	 * @param peers the addresses of other entries to pass on
 	 * @return an update with the next sequence number
 	 */
-	EntryNews ofAllWork(long againMillis, List<String> peers) {
+	LoadUpdate ofAllWork(long againMillis, List<String> peers) {
 		return build(false, againMillis, this.outputs.ownWork(), peers);
 	}
 
@@ -69,7 +69,7 @@
 	 * milliseconds
 	 * @return the update, which lists targets without work as well
 	 */
-	EntryNews ofWorkAt(Set<TargetRun> targets, long againMillis) {
+	LoadUpdate ofWorkAt(Set<TargetRun> targets, long againMillis) {
 		Map<TargetRun, WorkAtTarget> work = new HashMap<>();
 		targets.forEach((t) -> work.put(t, WorkAtTarget.none(t)));
 		this.outputs.ownWork()
@@ -79,9 +79,9 @@
 		return build(true, againMillis, List.copyOf(work.values()), List.of());
 	}
 
-	private EntryNews build(boolean isPartial, long againMillis, List<WorkAtTarget> work, List<String> peers) {
+	private LoadUpdate build(boolean isPartial, long againMillis, List<WorkAtTarget> work, List<String> peers) {
 		this.sequence++;
-		return new EntryNews(this.instance, this.dataCentre, this.incarnation, this.sequence, this.ending, isPartial,
+		return new LoadUpdate(this.instance, this.dataCentre, this.incarnation, this.sequence, this.ending, isPartial,
 				againMillis, work, this.outputs.ownSpending(), this.outputs.needs(), peers);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
@@ -27,7 +27,7 @@
 	/** The time since which consecutive updates report a copy from or to a target. */
 	private final Map<TargetRun, Long> copyingSince = new HashMap<>();
 
-	private EntryNews latest;
+	private LoadUpdate latest;
 
 	private long receivedAt;
 
@@ -39,12 +39,12 @@
 	 * @param now the current time in milliseconds
 	 * @return the incarnations of the targets at which the work may have changed
 	 */
-	Set<TargetRun> apply(EntryNews update, long now) {
+	Set<TargetRun> apply(LoadUpdate update, long now) {
 		Set<TargetRun> affected = new HashSet<>();
 		if (!update.partial()) {
 			affected.addAll(this.work.keySet());
 			this.work.clear();
-			this.againMillis = update.againMillis();
+			this.againMillis = update.nextWithinMillis();
 		}
 		for (WorkAtTarget reported : update.work()) {
 			affected.add(reported.target());
@@ -53,7 +53,7 @@
 		affected.forEach((t) -> trackCopying(t, now));
 		this.latest = update;
 		this.receivedAt = now;
-		this.againMillis = Math.max(this.againMillis, update.againMillis());
+		this.againMillis = Math.max(this.againMillis, update.nextWithinMillis());
 		return affected;
 	}
 
@@ -76,7 +76,7 @@
 	 * @param other the update
 	 * @return {@code false} if it comes from the same process and is not newer
 	 */
-	boolean isReplacedBy(EntryNews other) {
+	boolean isReplacedBy(LoadUpdate other) {
 		return isOtherProcess(other) || this.latest.sequence() < other.sequence();
 	}
 
@@ -85,7 +85,7 @@
 	 * @param other the update
 	 * @return {@code true} if the entry was restarted
 	 */
-	boolean isOtherProcess(EntryNews other) {
+	boolean isOtherProcess(LoadUpdate other) {
 		return this.latest.incarnation() != other.incarnation();
 	}
 
@@ -99,7 +99,7 @@
 	}
 
 	// The latest update, complete or partial.
-	EntryNews latest() {
+	LoadUpdate latest() {
 		return this.latest;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
@@ -52,7 +52,7 @@
 	 * @param update the load update, complete or partial
 	 * @param now the current time in milliseconds
 	 */
-	void apply(String address, EntryNews update, long now) {
+	void apply(String address, LoadUpdate update, long now) {
 		if (at(address).filter((p) -> p.isOtherProcess(update)).isPresent()) {
 			remove(address);
 		}
@@ -93,7 +93,7 @@
 			return Optional.empty();
 		}
 		return Optional.of(Stream.concat(this.peers.values().stream(), this.departed.stream())
-			.flatMap((p) -> p.latest().spending().stream())
+			.flatMap((p) -> p.latest().budgetUsage().stream())
 			.filter((s) -> s.service().equals(service))
 			.reduce(new ServiceSpending(service, 0, 0), ServiceSpending::plus));
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
@@ -100,7 +100,7 @@
 			.filter((e) -> !isSameDataCentre(e.getValue()))
 			.collect(Collectors.groupingBy((e) -> e.getValue().latest().dataCentre()));
 		Comparator<Map.Entry<String, Peer>> highestFirst = Comparator.comparing((e) -> {
-			EntryNews latest = e.getValue().latest();
+			LoadUpdate latest = e.getValue().latest();
 			return rank.applyAsLong(latest.dataCentre(), latest.instance());
 		}, (a, b) -> Long.compareUnsigned(b, a));
 		return byDataCentre.values()
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -35,7 +35,7 @@
 
 	private final List<AuditEvent> audit = new ArrayList<>();
 
-	private EntryNews lastUpdate;
+	private LoadUpdate lastUpdate;
 
 	private List<WorkAtTarget> ownWork = List.of();
 
@@ -84,16 +84,16 @@
 	void peerThatShutsDownIsRemovedAtOnce() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
 		this.gossip.received("10.0.0.2:7200",
-				new EntryNews("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), NeedsNews.NONE, List.of()),
+				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), NeedsNews.NONE, List.of()),
 				5);
 		assertThat(this.gossip.peers()).isEqualTo(0);
 	}
 
 	@Test
 	void contactsEntriesThatPeersAdvertise() {
-		EntryNews news = new EntryNews("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(), NeedsNews.NONE,
+		LoadUpdate update = new LoadUpdate("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(), NeedsNews.NONE,
 				List.of("10.0.0.5:7200", "10.0.0.1:7200"));
-		this.gossip.received("10.0.0.2:7200", news, 0);
+		this.gossip.received("10.0.0.2:7200", update, 0);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.5:7200").inOrder();
 	}
 
@@ -115,15 +115,15 @@
 	@Test
 	void spendingOfARemovedPeerCountsForOneMoreWindow() {
 		ServiceSpending spent = new ServiceSpending("s", 10, 4);
-		EntryNews two = new EntryNews("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(spent), NeedsNews.NONE,
+		LoadUpdate two = new LoadUpdate("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(spent), NeedsNews.NONE,
 				List.of());
-		EntryNews three = new EntryNews("three", "z", 3, 1, false, false, 1_000, List.of(), List.of(spent),
+		LoadUpdate three = new LoadUpdate("three", "z", 3, 1, false, false, 1_000, List.of(), List.of(spent),
 				NeedsNews.NONE, List.of());
 		assertThat(this.gossip.spendingOfOthers("s", 10_000, 0)).isEqualTo(Optional.empty());
 		this.gossip.received("10.0.0.2:7200", two, 0);
 		this.gossip.received("10.0.0.3:7200", three, 0);
 		this.gossip.received("10.0.0.2:7200",
-				new EntryNews("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), NeedsNews.NONE, List.of()),
+				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), NeedsNews.NONE, List.of()),
 				100);
 		assertThat(this.gossip.spendingOfOthers("s", 10_000, 5_000).get().repeats()).isEqualTo(8);
 		assertThat(this.gossip.spendingOfOthers("s", 10_000, 10_001).get().repeats()).isEqualTo(4);
@@ -134,13 +134,13 @@
 		this.needs = new NeedsNews(List.of(new LimitNews(TargetRun.of("t"), OptionalDouble.of(3), 40)),
 				List.of(TargetRun.of("u")));
 		this.gossip.received("10.0.0.2:7200",
-				new EntryNews("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.needs, List.of()), 0);
+				new LoadUpdate("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.needs, List.of()), 0);
 		assertThat(this.receivedSignals).containsExactly(this.needs);
-		assertThat(this.lastUpdate.needs()).isEqualTo(this.needs);
+		assertThat(this.lastUpdate.signals()).isEqualTo(this.needs);
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.ALL, 100);
 		this.timers.run(200);
 		assertThat(this.lastUpdate.partial()).isTrue();
-		assertThat(this.lastUpdate.needs()).isEqualTo(this.needs);
+		assertThat(this.lastUpdate.signals()).isEqualTo(this.needs);
 	}
 
 	@Test
@@ -213,7 +213,7 @@
 		this.timers.run(2_000);
 		assertThat(this.receivers).containsAtLeast("10.0.0.3:7200", "10.0.0.4:7200");
 		assertThat(this.lastUpdate.partial()).isFalse();
-		assertThat(this.lastUpdate.againMillis()).isEqualTo(3_000);
+		assertThat(this.lastUpdate.nextWithinMillis()).isEqualTo(3_000);
 	}
 
 	@Test
@@ -310,7 +310,7 @@
 	@Test
 	void partialUpdateChangesOnlyTheTargetsThatItNames() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
-		EntryNews partial = new EntryNews("two", "z", 2, 2, false, true, 1_000,
+		LoadUpdate partial = new LoadUpdate("two", "z", 2, 2, false, true, 1_000,
 				List.of(new WorkAtTarget(TargetRun.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), NeedsNews.NONE,
 				List.of());
 		this.gossip.received("10.0.0.2:7200", partial, 10);
@@ -336,7 +336,7 @@
 		this.gossip.start(0);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
 		this.gossip.end(200);
-		assertThat(this.lastUpdate.ending()).isTrue();
+		assertThat(this.lastUpdate.shuttingDown()).isTrue();
 		this.receivers.clear();
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 210);
 		this.timers.run(10_000);
@@ -360,22 +360,22 @@
 		return new WorkAtTarget(TargetRun.of(target), 1, 1, 0, toMove, copying, 0, false);
 	}
 
-	private static EntryNews news(String name, long incarnation, long sequence, WorkAtTarget work) {
-		return new EntryNews(name, "z", incarnation, sequence, false, false, 1_000, List.of(work), List.of(),
+	private static LoadUpdate news(String name, long incarnation, long sequence, WorkAtTarget work) {
+		return new LoadUpdate(name, "z", incarnation, sequence, false, false, 1_000, List.of(work), List.of(),
 				NeedsNews.NONE, List.of());
 	}
 
-	private static EntryNews distant(String name, long incarnation, WorkAtTarget... work) {
-		return new EntryNews(name, "elsewhere", incarnation, 1, false, false, 3_000, List.of(work), List.of(),
+	private static LoadUpdate distant(String name, long incarnation, WorkAtTarget... work) {
+		return new LoadUpdate(name, "elsewhere", incarnation, 1, false, false, 3_000, List.of(work), List.of(),
 				NeedsNews.NONE, List.of());
 	}
 
 	private final class Outputs implements GossipOutputs {
 
 		@Override
-		public void send(String address, EntryNews news) {
+		public void send(String address, LoadUpdate update) {
 			GossipTests.this.receivers.add(address);
-			GossipTests.this.lastUpdate = news;
+			GossipTests.this.lastUpdate = update;
 		}
 
 		@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -22,10 +22,10 @@
 import dev.laneworks.core.follow.SharedReading;
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.ChangeReach;
-import dev.laneworks.core.gossip.EntryNews;
 import dev.laneworks.core.gossip.Gossip;
 import dev.laneworks.core.gossip.GossipOutputs;
 import dev.laneworks.core.gossip.GossipSettings;
+import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.NeedsNews;
 import dev.laneworks.core.gossip.ServiceSpending;
 import dev.laneworks.core.gossip.WorkAtTarget;
@@ -237,7 +237,7 @@
 	}
 
 	@Override
-	public void send(String address, EntryNews update) {
+	public void send(String address, LoadUpdate update) {
 		this.socket.send(socketAddress(address), update);
 	}
 
@@ -306,8 +306,8 @@
 	private final class Receiver implements NewsListener {
 
 		@Override
-		public void work(String from, EntryNews news) {
-			PeerEntries.this.loop.run(() -> PeerEntries.this.gossip.received(from, news, PeerEntries.this.loop.now()));
+		public void work(String from, LoadUpdate update) {
+			PeerEntries.this.loop.run(() -> PeerEntries.this.gossip.received(from, update, PeerEntries.this.loop.now()));
 		}
 
 		@Override
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
@@ -5,7 +5,7 @@
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import dev.laneworks.core.follow.StoreNews;
-import dev.laneworks.core.gossip.EntryNews;
+import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.StatePiece;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.poison.SuspectReport;
@@ -23,7 +23,7 @@
 	private EntryDatagramCodec() {
 	}
 
-	static byte[] encode(EntryNews update) {
+	static byte[] encode(LoadUpdate update) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
 			.setWork(EntryNewsCodec.encode(update))
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-import dev.laneworks.core.gossip.EntryNews;
 import dev.laneworks.core.gossip.LimitNews;
+import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.NeedsNews;
 import dev.laneworks.core.gossip.ServiceSpending;
 import dev.laneworks.core.gossip.WorkAtTarget;
@@ -18,29 +18,29 @@
 	private EntryNewsCodec() {
 	}
 
-	static Protocol.EntryNews encode(EntryNews update) {
+	static Protocol.EntryNews encode(LoadUpdate update) {
 		Protocol.EntryNews.Builder builder = Protocol.EntryNews.newBuilder()
 			.setInstance(update.instance())
 			.setIncarnation(update.incarnation())
 			.setSequence(update.sequence())
-			.setEnding(update.ending())
+			.setEnding(update.shuttingDown())
 			.setDataCentre(update.dataCentre())
 			.setPartial(update.partial())
-			.setAgainMillis((int) update.againMillis())
+			.setAgainMillis((int) update.nextWithinMillis())
 			.addAllPeers(update.peers());
 		update.work().forEach((w) -> builder.addWork(encode(w)));
-		update.spending().forEach((s) -> builder.addSpending(encode(s)));
-		update.needs().limits().forEach((l) -> builder.addLimits(encode(l)));
-		update.needs().leaving().forEach((t) -> builder.addLeaving(TargetIncarnationFormat.format(t)));
+		update.budgetUsage().forEach((s) -> builder.addSpending(encode(s)));
+		update.signals().limits().forEach((l) -> builder.addLimits(encode(l)));
+		update.signals().leaving().forEach((t) -> builder.addLeaving(TargetIncarnationFormat.format(t)));
 		return builder.build();
 	}
 
-	static EntryNews decode(Protocol.EntryNews update) {
+	static LoadUpdate decode(Protocol.EntryNews update) {
 		List<WorkAtTarget> work = update.getWorkList().stream().map(EntryNewsCodec::decode).toList();
 		List<ServiceSpending> spending = update.getSpendingList().stream().map(EntryNewsCodec::decode).toList();
 		NeedsNews signals = new NeedsNews(update.getLimitsList().stream().map(EntryNewsCodec::decode).toList(),
 				update.getLeavingList().stream().map(TargetIncarnationFormat::parse).toList());
-		return new EntryNews(update.getInstance(), update.getDataCentre(), update.getIncarnation(),
+		return new LoadUpdate(update.getInstance(), update.getDataCentre(), update.getIncarnation(),
 				update.getSequence(), update.getEnding(), update.getPartial(), update.getAgainMillis(), work, spending,
 				signals, update.getPeersList());
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import dev.laneworks.core.follow.StoreNews;
-import dev.laneworks.core.gossip.EntryNews;
+import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.StatePiece;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.poison.SuspectReport;
@@ -22,7 +22,7 @@
 	 * @param from the sender's address, {@code IP:PORT}
 	 * @param update the update; may be older than one received before
 	 */
-	void work(String from, EntryNews update);
+	void work(String from, LoadUpdate update);
 
 	/**
 	 * Handle an update of the platform's store, or a request for missed changes.
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 
 import dev.laneworks.core.follow.StoreNews;
-import dev.laneworks.core.gossip.EntryNews;
+import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.StatePiece;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.poison.SuspectReport;
@@ -72,7 +72,7 @@
 	 * @param address the receiver's address
 	 * @param update the update; dropped with a warning if it exceeds a datagram
 	 */
-	public void send(InetSocketAddress address, EntryNews update) {
+	public void send(InetSocketAddress address, LoadUpdate update) {
 		byte[] datagram = EntryDatagramCodec.encode(update);
 		if (datagram.length > MAX_DATAGRAM_BYTES) {
 			Logger.warn("dropped a load update of {} bytes, which exceeds a datagram", datagram.length);
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
@@ -4,8 +4,8 @@
 import java.util.OptionalDouble;
 
 import dev.laneworks.core.directory.TargetRun;
-import dev.laneworks.core.gossip.EntryNews;
 import dev.laneworks.core.gossip.LimitNews;
+import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.NeedsNews;
 import dev.laneworks.core.gossip.ServiceSpending;
 import dev.laneworks.core.gossip.WorkAtTarget;
@@ -21,7 +21,7 @@
 	@Test
 	void decodesWhatWasEncoded() {
 		TargetRun incarnation = TargetRun.of("t", 1_700_000_000_000L);
-		EntryNews update = new EntryNews("e", "z", 7, 3, true, true, 1_000,
+		LoadUpdate update = new LoadUpdate("e", "z", 7, 3, true, true, 1_000,
 				List.of(new WorkAtTarget(incarnation, 1, 2, 3, 4, true, 5, true)),
 				List.of(new ServiceSpending("s", 6, 7)),
 				new NeedsNews(
