--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetLimits.java
@@ -11,7 +11,7 @@
 
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetRun;
-import dev.laneworks.core.gossip.LimitNews;
+import dev.laneworks.core.gossip.RateLimitUpdate;
 
 /**
  * Enforces the rate limits that targets advertise for all entries together, without a
@@ -124,7 +124,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if the limit changed
 	 */
-	boolean recordGossiped(LimitNews advertised, long now) {
+	boolean recordGossiped(RateLimitUpdate advertised, long now) {
 		Limit recorded = this.byIncarnation.get(advertised.target());
 		long reportedAt = now - advertised.ageMillis();
 		boolean isOlder = recorded != null && reportedAt <= recorded.reportedAt + MIN_AGE_DIFFERENCE_MILLIS;
@@ -149,14 +149,14 @@
 	 * @param now the current time in milliseconds
 	 * @return the current and the recently lifted limits, the most recent first
 	 */
-	List<LimitNews> news(long now) {
+	List<RateLimitUpdate> news(long now) {
 		this.byIncarnation.values().removeIf((l) -> l.isExpired(now));
 		return this.byIncarnation.entrySet()
 			.stream()
 			.filter((e) -> e.getValue().unlistedAt.isEmpty())
 			.sorted(Comparator.comparingLong((e) -> -e.getValue().reportedAt))
 			.limit(MAX_ANNOUNCED)
-			.map((e) -> new LimitNews(e.getKey(), e.getValue().perSecond, Math.max(0, now - e.getValue().reportedAt)))
+			.map((e) -> new RateLimitUpdate(e.getKey(), e.getValue().perSecond, Math.max(0, now - e.getValue().reportedAt)))
 			.toList();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/NeedsNews.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/NeedsNews.java
@@ -11,7 +11,7 @@
  * @param leaving the incarnations of targets that are draining
  * @since 0.4
  */
-public record NeedsNews(List<LimitNews> limits, List<TargetRun> leaving) {
+public record NeedsNews(List<RateLimitUpdate> limits, List<TargetRun> leaving) {
 
 	/** Update without any back-pressure signal. */
 	public static final NeedsNews NONE = new NeedsNews(List.of(), List.of());
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/LimitNews.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/RateLimitUpdate.java
@@ -14,9 +14,9 @@
  * @param ageMillis the time since the target reported it, in milliseconds
  * @since 0.4
  */
-public record LimitNews(TargetRun target, OptionalDouble perSecond, long ageMillis) {
+public record RateLimitUpdate(TargetRun target, OptionalDouble perSecond, long ageMillis) {
 
-	public LimitNews {
+	public RateLimitUpdate {
 		Objects.requireNonNull(target, "target must not be null");
 		Objects.requireNonNull(perSecond, "perSecond must not be null");
 		if (ageMillis < 0) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.gossip.LimitNews;
+import dev.laneworks.core.gossip.RateLimitUpdate;
 import dev.laneworks.core.time.Timers;
 
 /**
@@ -235,15 +235,15 @@
 			LimitedFleet.this.timers.at(at + HEARTBEAT_MILLIS, this::heartbeat);
 		}
 
-		private void broadcast(List<LimitNews> news) {
-			if (news.isEmpty()) {
+		private void broadcast(List<RateLimitUpdate> update) {
+			if (update.isEmpty()) {
 				return;
 			}
 			List<Entry> receivers = LimitedFleet.this.entries.stream()
 				.filter((e) -> e != this && e.isRunning && !isLost())
 				.toList();
 			LimitedFleet.this.timers.at(LimitedFleet.this.now + LATENCY_MILLIS,
-					(t) -> receivers.forEach((e) -> news.forEach((n) -> e.limits.recordGossiped(n, t))));
+					(t) -> receivers.forEach((e) -> update.forEach((n) -> e.limits.recordGossiped(n, t))));
 		}
 
 		private boolean isLost() {
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
@@ -5,7 +5,7 @@
 import com.google.common.collect.Range;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetRun;
-import dev.laneworks.core.gossip.LimitNews;
+import dev.laneworks.core.gossip.RateLimitUpdate;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
@@ -150,7 +150,7 @@
 	@Test
 	void updateContainsTheMostRecentLimits() {
 		for (int i = 0; i < 100; i++) {
-			this.limits.recordGossiped(new LimitNews(TargetRun.of("t" + i), OptionalDouble.of(1), 100 - i), 100);
+			this.limits.recordGossiped(new RateLimitUpdate(TargetRun.of("t" + i), OptionalDouble.of(1), 100 - i), 100);
 		}
 		assertThat(this.limits.news(100)).hasSize(64);
 		assertThat(this.limits.news(100).get(0).target()).isEqualTo(TargetRun.of("t99"));
@@ -164,8 +164,8 @@
 		this.limits.recordReported(this.target, perSecond, requestSentAt, now);
 	}
 
-	private LimitNews news(OptionalDouble perSecond, long ageMillis) {
-		return new LimitNews(this.target.run(), perSecond, ageMillis);
+	private RateLimitUpdate news(OptionalDouble perSecond, long ageMillis) {
+		return new RateLimitUpdate(this.target.run(), perSecond, ageMillis);
 	}
 
 	private int sentIn(long from, long to, long step) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -131,7 +131,7 @@
 
 	@Test
 	void everyUpdateCarriesBackPressureSignals() {
-		this.needs = new NeedsNews(List.of(new LimitNews(TargetRun.of("t"), OptionalDouble.of(3), 40)),
+		this.needs = new NeedsNews(List.of(new RateLimitUpdate(TargetRun.of("t"), OptionalDouble.of(3), 40)),
 				List.of(TargetRun.of("u")));
 		this.gossip.received("10.0.0.2:7200",
 				new LoadUpdate("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.needs, List.of()), 0);
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-import dev.laneworks.core.gossip.LimitNews;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.NeedsNews;
+import dev.laneworks.core.gossip.RateLimitUpdate;
 import dev.laneworks.core.gossip.ServiceSpending;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.wire.proto.Protocol;
@@ -66,7 +66,7 @@
 			.build();
 	}
 
-	private static Protocol.TargetLimit encode(LimitNews limit) {
+	private static Protocol.TargetLimit encode(RateLimitUpdate limit) {
 		return Protocol.TargetLimit.newBuilder()
 			.setTarget(TargetIncarnationFormat.format(limit.target()))
 			.setOver(limit.perSecond().isEmpty())
@@ -75,8 +75,8 @@
 			.build();
 	}
 
-	private static LimitNews decode(Protocol.TargetLimit limit) {
-		return new LimitNews(TargetIncarnationFormat.parse(limit.getTarget()),
+	private static RateLimitUpdate decode(Protocol.TargetLimit limit) {
+		return new RateLimitUpdate(TargetIncarnationFormat.parse(limit.getTarget()),
 				limit.getOver() ? OptionalDouble.empty() : OptionalDouble.of(limit.getPerSecond()),
 				Integer.toUnsignedLong(limit.getAgeMillis()));
 	}
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
@@ -4,9 +4,9 @@
 import java.util.OptionalDouble;
 
 import dev.laneworks.core.directory.TargetRun;
-import dev.laneworks.core.gossip.LimitNews;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.NeedsNews;
+import dev.laneworks.core.gossip.RateLimitUpdate;
 import dev.laneworks.core.gossip.ServiceSpending;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import org.junit.jupiter.api.Test;
@@ -25,9 +25,9 @@
 				List.of(new WorkAtTarget(incarnation, 1, 2, 3, 4, true, 5, true)),
 				List.of(new ServiceSpending("s", 6, 7)),
 				new NeedsNews(
-						List.of(new LimitNews(incarnation, OptionalDouble.of(2.7), 40),
-								new LimitNews(TargetRun.of("u"), OptionalDouble.empty(), 0),
-								new LimitNews(TargetRun.of("v"), OptionalDouble.of(0), 5)),
+						List.of(new RateLimitUpdate(incarnation, OptionalDouble.of(2.7), 40),
+								new RateLimitUpdate(TargetRun.of("u"), OptionalDouble.empty(), 0),
+								new RateLimitUpdate(TargetRun.of("v"), OptionalDouble.of(0), 5)),
 						List.of(incarnation, TargetRun.of("w"))),
 				List.of("10.0.0.1:7200"));
 		assertThat(EntryNewsCodec.decode(EntryNewsCodec.encode(update))).isEqualTo(update);
