--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
@@ -13,7 +13,7 @@
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetRun;
-import dev.laneworks.core.gossip.NeedsNews;
+import dev.laneworks.core.gossip.BackpressureUpdate;
 
 /**
  * Back-pressure state of all targets, from the signals in their responses and from other
@@ -75,12 +75,12 @@
 	 * still name one that is not
 	 * @param now the current time in milliseconds
 	 */
-	public void heard(NeedsNews signals, Predicate<TargetRun> isListed, long now) {
+	public void heard(BackpressureUpdate signals, Predicate<TargetRun> isListed, long now) {
 		signals.limits()
 			.stream()
 			.filter((l) -> isListed.test(l.target()))
 			.forEach((l) -> this.limits.recordGossiped(l, now));
-		signals.leaving().forEach((t) -> recordGossipedDraining(t, now));
+		signals.draining().forEach((t) -> recordGossipedDraining(t, now));
 	}
 
 	/**
@@ -88,8 +88,8 @@
 	 * @param now the current time in milliseconds
 	 * @return the latest signals, including limits received from other entries
 	 */
-	public NeedsNews news(long now) {
-		return new NeedsNews(this.limits.news(now), this.leaving.toAnnounce(now));
+	public BackpressureUpdate news(long now) {
+		return new BackpressureUpdate(this.limits.news(now), this.leaving.toAnnounce(now));
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/NeedsNews.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/BackpressureUpdate.java
@@ -8,17 +8,17 @@
  * Back-pressure signals of targets, as one entry passes them on to others.
  *
  * @param limits the latest rate limits
- * @param leaving the incarnations of targets that are draining
+ * @param draining the incarnations of targets that are draining
  * @since 0.4
  */
-public record NeedsNews(List<RateLimitUpdate> limits, List<TargetRun> leaving) {
+public record BackpressureUpdate(List<RateLimitUpdate> limits, List<TargetRun> draining) {
 
 	/** Update without any back-pressure signal. */
-	public static final NeedsNews NONE = new NeedsNews(List.of(), List.of());
+	public static final BackpressureUpdate NONE = new BackpressureUpdate(List.of(), List.of());
 
-	public NeedsNews {
+	public BackpressureUpdate {
 		limits = List.copyOf(limits);
-		leaving = List.copyOf(leaving);
+		draining = List.copyOf(draining);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
@@ -28,13 +28,13 @@
 	 * Handle back-pressure signals that another entry passes on.
 	 * @param signals the signals that it received from targets or from other entries
 	 */
-	void heardNeeds(NeedsNews signals);
+	void heardNeeds(BackpressureUpdate signals);
 
 	/**
 	 * Return the back-pressure signals of targets to pass on.
 	 * @return the latest signals, including those from other entries
 	 */
-	NeedsNews needs();
+	BackpressureUpdate needs();
 
 	/**
 	 * Return the current work of this entry.
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
@@ -9,7 +9,7 @@
 import dev.laneworks.core.backpressure.TargetNeeds;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
-import dev.laneworks.core.gossip.NeedsNews;
+import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.serving.RequestKind;
 import dev.laneworks.core.verdict.Verdict;
 import org.junit.jupiter.api.Test;
@@ -143,11 +143,11 @@
 	@Test
 	void signalsOfOtherEntriesAreAppliedButNotForwarded() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
-		NeedsNews news = new NeedsNews(List.of(), List.of(target.run()));
-		this.harness.needs.heard(news, (t) -> true, 0);
+		BackpressureUpdate signals = new BackpressureUpdate(List.of(), List.of(target.run()));
+		this.harness.needs.heard(signals, (t) -> true, 0);
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
 		assertThat(this.harness.answers(this.calls)).containsExactly("refused 503");
-		assertThat(this.harness.needs.news(1)).isEqualTo(NeedsNews.NONE);
+		assertThat(this.harness.needs.news(1)).isEqualTo(BackpressureUpdate.NONE);
 	}
 
 	@Test
@@ -159,8 +159,8 @@
 		this.harness.needs.told(target, DRAINING_SIGNAL, 3, 3);
 		this.harness.needs.told(target, DRAINING_SIGNAL, 4, 4);
 		assertThat(this.harness.needsToTell).hasSize(4);
-		assertThat(this.harness.needs.news(60_004).leaving()).containsExactly(target.run());
-		assertThat(this.harness.needs.news(60_005).leaving()).isEmpty();
+		assertThat(this.harness.needs.news(60_004).draining()).containsExactly(target.run());
+		assertThat(this.harness.needs.news(60_005).draining()).isEmpty();
 	}
 
 	@Test
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -29,9 +29,9 @@
 
 	private final List<String> draining = new ArrayList<>();
 
-	private final List<NeedsNews> receivedSignals = new ArrayList<>();
+	private final List<BackpressureUpdate> receivedSignals = new ArrayList<>();
 
-	private NeedsNews needs = NeedsNews.NONE;
+	private BackpressureUpdate signals = BackpressureUpdate.NONE;
 
 	private final List<AuditEvent> audit = new ArrayList<>();
 
@@ -84,14 +84,14 @@
 	void peerThatShutsDownIsRemovedAtOnce() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
 		this.gossip.received("10.0.0.2:7200",
-				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), NeedsNews.NONE, List.of()),
+				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), BackpressureUpdate.NONE, List.of()),
 				5);
 		assertThat(this.gossip.peers()).isEqualTo(0);
 	}
 
 	@Test
 	void contactsEntriesThatPeersAdvertise() {
-		LoadUpdate update = new LoadUpdate("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(), NeedsNews.NONE,
+		LoadUpdate update = new LoadUpdate("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(), BackpressureUpdate.NONE,
 				List.of("10.0.0.5:7200", "10.0.0.1:7200"));
 		this.gossip.received("10.0.0.2:7200", update, 0);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.5:7200").inOrder();
@@ -115,15 +115,15 @@
 	@Test
 	void spendingOfARemovedPeerCountsForOneMoreWindow() {
 		ServiceSpending spent = new ServiceSpending("s", 10, 4);
-		LoadUpdate two = new LoadUpdate("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(spent), NeedsNews.NONE,
+		LoadUpdate two = new LoadUpdate("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(spent), BackpressureUpdate.NONE,
 				List.of());
 		LoadUpdate three = new LoadUpdate("three", "z", 3, 1, false, false, 1_000, List.of(), List.of(spent),
-				NeedsNews.NONE, List.of());
+				BackpressureUpdate.NONE, List.of());
 		assertThat(this.gossip.spendingOfOthers("s", 10_000, 0)).isEqualTo(Optional.empty());
 		this.gossip.received("10.0.0.2:7200", two, 0);
 		this.gossip.received("10.0.0.3:7200", three, 0);
 		this.gossip.received("10.0.0.2:7200",
-				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), NeedsNews.NONE, List.of()),
+				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), BackpressureUpdate.NONE, List.of()),
 				100);
 		assertThat(this.gossip.spendingOfOthers("s", 10_000, 5_000).get().repeats()).isEqualTo(8);
 		assertThat(this.gossip.spendingOfOthers("s", 10_000, 10_001).get().repeats()).isEqualTo(4);
@@ -131,16 +131,16 @@
 
 	@Test
 	void everyUpdateCarriesBackPressureSignals() {
-		this.needs = new NeedsNews(List.of(new RateLimitUpdate(TargetRun.of("t"), OptionalDouble.of(3), 40)),
+		this.signals = new BackpressureUpdate(List.of(new RateLimitUpdate(TargetRun.of("t"), OptionalDouble.of(3), 40)),
 				List.of(TargetRun.of("u")));
 		this.gossip.received("10.0.0.2:7200",
-				new LoadUpdate("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.needs, List.of()), 0);
-		assertThat(this.receivedSignals).containsExactly(this.needs);
-		assertThat(this.lastUpdate.signals()).isEqualTo(this.needs);
+				new LoadUpdate("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.signals, List.of()), 0);
+		assertThat(this.receivedSignals).containsExactly(this.signals);
+		assertThat(this.lastUpdate.signals()).isEqualTo(this.signals);
 		this.gossip.changed(TargetRun.of("t"), ChangeReach.ALL, 100);
 		this.timers.run(200);
 		assertThat(this.lastUpdate.partial()).isTrue();
-		assertThat(this.lastUpdate.signals()).isEqualTo(this.needs);
+		assertThat(this.lastUpdate.signals()).isEqualTo(this.signals);
 	}
 
 	@Test
@@ -311,7 +311,7 @@
 	void partialUpdateChangesOnlyTheTargetsThatItNames() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
 		LoadUpdate partial = new LoadUpdate("two", "z", 2, 2, false, true, 1_000,
-				List.of(new WorkAtTarget(TargetRun.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), NeedsNews.NONE,
+				List.of(new WorkAtTarget(TargetRun.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), BackpressureUpdate.NONE,
 				List.of());
 		this.gossip.received("10.0.0.2:7200", partial, 10);
 		assertThat(this.gossip.others(TargetRun.of("t")).get().heldTokens()).isEqualTo(900);
@@ -362,12 +362,12 @@
 
 	private static LoadUpdate news(String name, long incarnation, long sequence, WorkAtTarget work) {
 		return new LoadUpdate(name, "z", incarnation, sequence, false, false, 1_000, List.of(work), List.of(),
-				NeedsNews.NONE, List.of());
+				BackpressureUpdate.NONE, List.of());
 	}
 
 	private static LoadUpdate distant(String name, long incarnation, WorkAtTarget... work) {
 		return new LoadUpdate(name, "elsewhere", incarnation, 1, false, false, 3_000, List.of(work), List.of(),
-				NeedsNews.NONE, List.of());
+				BackpressureUpdate.NONE, List.of());
 	}
 
 	private final class Outputs implements GossipOutputs {
@@ -384,13 +384,13 @@
 		}
 
 		@Override
-		public void heardNeeds(NeedsNews news) {
+		public void heardNeeds(BackpressureUpdate news) {
 			GossipTests.this.receivedSignals.add(news);
 		}
 
 		@Override
-		public NeedsNews needs() {
-			return GossipTests.this.needs;
+		public BackpressureUpdate needs() {
+			return GossipTests.this.signals;
 		}
 
 		@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -21,12 +21,12 @@
 import dev.laneworks.core.dispatch.TargetBeliefs;
 import dev.laneworks.core.follow.SharedReading;
 import dev.laneworks.core.follow.StoreNews;
+import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.gossip.ChangeReach;
 import dev.laneworks.core.gossip.Gossip;
 import dev.laneworks.core.gossip.GossipOutputs;
 import dev.laneworks.core.gossip.GossipSettings;
 import dev.laneworks.core.gossip.LoadUpdate;
-import dev.laneworks.core.gossip.NeedsNews;
 import dev.laneworks.core.gossip.ServiceSpending;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.handover.StatePiece;
@@ -247,13 +247,13 @@
 	}
 
 	@Override
-	public void heardNeeds(NeedsNews news) {
-		this.needs.ifPresent((n) -> n.heard(news, this.listed, this.loop.now()));
+	public void heardNeeds(BackpressureUpdate signals) {
+		this.needs.ifPresent((n) -> n.heard(signals, this.listed, this.loop.now()));
 	}
 
 	@Override
-	public NeedsNews needs() {
-		return this.needs.map((n) -> n.news(this.loop.now())).orElse(NeedsNews.NONE);
+	public BackpressureUpdate needs() {
+		return this.needs.map((n) -> n.news(this.loop.now())).orElse(BackpressureUpdate.NONE);
 	}
 
 	@Override
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
+import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.gossip.LoadUpdate;
-import dev.laneworks.core.gossip.NeedsNews;
 import dev.laneworks.core.gossip.RateLimitUpdate;
 import dev.laneworks.core.gossip.ServiceSpending;
 import dev.laneworks.core.gossip.WorkAtTarget;
@@ -31,14 +31,14 @@
 		update.work().forEach((w) -> builder.addWork(encode(w)));
 		update.budgetUsage().forEach((s) -> builder.addSpending(encode(s)));
 		update.signals().limits().forEach((l) -> builder.addLimits(encode(l)));
-		update.signals().leaving().forEach((t) -> builder.addLeaving(TargetIncarnationFormat.format(t)));
+		update.signals().draining().forEach((t) -> builder.addLeaving(TargetIncarnationFormat.format(t)));
 		return builder.build();
 	}
 
 	static LoadUpdate decode(Protocol.EntryNews update) {
 		List<WorkAtTarget> work = update.getWorkList().stream().map(EntryNewsCodec::decode).toList();
 		List<ServiceSpending> spending = update.getSpendingList().stream().map(EntryNewsCodec::decode).toList();
-		NeedsNews signals = new NeedsNews(update.getLimitsList().stream().map(EntryNewsCodec::decode).toList(),
+		BackpressureUpdate signals = new BackpressureUpdate(update.getLimitsList().stream().map(EntryNewsCodec::decode).toList(),
 				update.getLeavingList().stream().map(TargetIncarnationFormat::parse).toList());
 		return new LoadUpdate(update.getInstance(), update.getDataCentre(), update.getIncarnation(),
 				update.getSequence(), update.getEnding(), update.getPartial(), update.getAgainMillis(), work, spending,
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
@@ -4,8 +4,8 @@
 import java.util.OptionalDouble;
 
 import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.gossip.LoadUpdate;
-import dev.laneworks.core.gossip.NeedsNews;
 import dev.laneworks.core.gossip.RateLimitUpdate;
 import dev.laneworks.core.gossip.ServiceSpending;
 import dev.laneworks.core.gossip.WorkAtTarget;
@@ -24,7 +24,7 @@
 		LoadUpdate update = new LoadUpdate("e", "z", 7, 3, true, true, 1_000,
 				List.of(new WorkAtTarget(incarnation, 1, 2, 3, 4, true, 5, true)),
 				List.of(new ServiceSpending("s", 6, 7)),
-				new NeedsNews(
+				new BackpressureUpdate(
 						List.of(new RateLimitUpdate(incarnation, OptionalDouble.of(2.7), 40),
 								new RateLimitUpdate(TargetRun.of("u"), OptionalDouble.empty(), 0),
 								new RateLimitUpdate(TargetRun.of("v"), OptionalDouble.of(0), 5)),
