--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/RetryWindow.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/RetryWindow.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import dev.laneworks.core.gossip.ServiceSpending;
+import dev.laneworks.core.gossip.RetryBudgetUsage;
 
 /**
  * Sliding-window retry budget of this process, which keeps a fleet-wide limit without a
@@ -100,10 +100,10 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return one entry per service for which requests were received
 	 */
-	public List<ServiceSpending> spending(long now) {
+	public List<RetryBudgetUsage> spending(long now) {
 		return this.services.keySet().stream().map((s) -> {
 			ServiceWindow window = window(s, now);
-			return new ServiceSpending(s, window.requests.size(), window.retries.size());
+			return new RetryBudgetUsage(s, window.requests.size(), window.retries.size());
 		}).toList();
 	}
 
@@ -131,7 +131,7 @@
 		 * @param now the current time in milliseconds of the monotonic clock
 		 * @return the sum, or empty if nothing is known of other processes
 		 */
-		Optional<ServiceSpending> spending(String service, long windowMillis, long now);
+		Optional<RetryBudgetUsage> spending(String service, long windowMillis, long now);
 
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -68,7 +68,7 @@
 	/** The widest reach of a change that was not sent yet. */
 	private ChangeReach pendingReach = ChangeReach.NEAR;
 
-	private List<ServiceSpending> lastSentSpending = List.of();
+	private List<RetryBudgetUsage> lastSentSpending = List.of();
 
 	private int heartbeats;
 
@@ -191,7 +191,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the sum; empty while no other entry is known
 	 */
-	public Optional<ServiceSpending> spendingOfOthers(String service, long windowMillis, long now) {
+	public Optional<RetryBudgetUsage> spendingOfOthers(String service, long windowMillis, long now) {
 		return this.known.spending(service, windowMillis, now);
 	}
 
@@ -336,9 +336,9 @@
 		}
 		removeSilent(now);
 		this.heartbeats++;
-		List<ServiceSpending> spending = this.outputs.ownSpending();
-		boolean hasSpent = !spending.equals(this.lastSentSpending);
-		this.lastSentSpending = spending;
+		List<RetryBudgetUsage> usage = this.outputs.ownSpending();
+		boolean hasSpent = !usage.equals(this.lastSentSpending);
+		this.lastSentSpending = usage;
 		List<String> near = nearAndUnknownSeeds();
 		List<String> distant = hasSpent ? this.selector.distant() : this.selector.distantAt(this.heartbeats);
 		sendAllWork(near, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
@@ -46,6 +46,6 @@
 	 * Return the use of the retry budget by this entry within the window.
 	 * @return the use for each service that it received requests for
 	 */
-	List<ServiceSpending> ownSpending();
+	List<RetryBudgetUsage> ownSpending();
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
@@ -87,7 +87,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the sum; empty while no peer is known
 	 */
-	Optional<ServiceSpending> spending(String service, long windowMillis, long now) {
+	Optional<RetryBudgetUsage> spending(String service, long windowMillis, long now) {
 		this.departed.removeIf((p) -> p.silentMillis(now) > windowMillis);
 		if (this.peers.isEmpty()) {
 			return Optional.empty();
@@ -95,7 +95,7 @@
 		return Optional.of(Stream.concat(this.peers.values().stream(), this.departed.stream())
 			.flatMap((p) -> p.latest().budgetUsage().stream())
 			.filter((s) -> s.service().equals(service))
-			.reduce(new ServiceSpending(service, 0, 0), ServiceSpending::plus));
+			.reduce(new RetryBudgetUsage(service, 0, 0), RetryBudgetUsage::plus));
 	}
 
 	private void updateTotals(Set<TargetRun> targets) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ServiceSpending.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/RetryBudgetUsage.java
@@ -10,9 +10,9 @@
  * @param repeats the number of attempts beyond the first of each request
  * @since 0.2
  */
-public record ServiceSpending(String service, int requests, int repeats) {
+public record RetryBudgetUsage(String service, int requests, int repeats) {
 
-	public ServiceSpending {
+	public RetryBudgetUsage {
 		Objects.requireNonNull(service, "service must not be null");
 	}
 
@@ -21,8 +21,8 @@
 	 * @param other the use of the budget of the same service
 	 * @return the sum of each count
 	 */
-	public ServiceSpending plus(ServiceSpending other) {
-		return new ServiceSpending(this.service, this.requests + other.requests, this.repeats + other.repeats);
+	public RetryBudgetUsage plus(RetryBudgetUsage other) {
+		return new RetryBudgetUsage(this.service, this.requests + other.requests, this.repeats + other.repeats);
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RetryWindowTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RetryWindowTests.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import dev.laneworks.core.gossip.ServiceSpending;
+import dev.laneworks.core.gossip.RetryBudgetUsage;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
@@ -43,7 +43,7 @@
 	@Test
 	void spendsMoreWhileFleetStaysBelowLimit() {
 		RetryWindow window = new RetryWindow(10_000, 0, 1, 10,
-				(s, w, now) -> Optional.of(new ServiceSpending(s, 0, 4)));
+				(s, w, now) -> Optional.of(new RetryBudgetUsage(s, 0, 4)));
 		assertThat(taken(window, 20)).isEqualTo(3);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -114,7 +114,7 @@
 
 	@Test
 	void spendingOfARemovedPeerCountsForOneMoreWindow() {
-		ServiceSpending spent = new ServiceSpending("s", 10, 4);
+		RetryBudgetUsage spent = new RetryBudgetUsage("s", 10, 4);
 		LoadUpdate two = new LoadUpdate("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(spent), BackpressureUpdate.NONE,
 				List.of());
 		LoadUpdate three = new LoadUpdate("three", "z", 3, 1, false, false, 1_000, List.of(), List.of(spent),
@@ -399,7 +399,7 @@
 		}
 
 		@Override
-		public List<ServiceSpending> ownSpending() {
+		public List<RetryBudgetUsage> ownSpending() {
 			return List.of();
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -27,7 +27,7 @@
 import dev.laneworks.core.dispatch.RetryWindow;
 import dev.laneworks.core.dispatch.TargetBeliefs;
 import dev.laneworks.core.dispatch.TargetChooser;
-import dev.laneworks.core.gossip.ServiceSpending;
+import dev.laneworks.core.gossip.RetryBudgetUsage;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.mechanism.Mechanism;
 import dev.laneworks.core.serving.ServiceSpec;
@@ -415,7 +415,7 @@
 		return this.peers.workAt(target);
 	}
 
-	private Optional<ServiceSpending> peerSpending(String service, long windowMillis, long now) {
+	private Optional<RetryBudgetUsage> peerSpending(String service, long windowMillis, long now) {
 		return this.settings.mechanisms().use(Mechanism.SHARED_BUDGET) ? this.peers.spending(service, windowMillis, now)
 				: Optional.empty();
 	}
@@ -424,14 +424,14 @@
 		return this.retries.spending(now)
 			.stream()
 			.filter((s) -> s.service().equals(service))
-			.mapToLong(ServiceSpending::requests)
+			.mapToLong(RetryBudgetUsage::requests)
 			.findFirst();
 	}
 
 	private OptionalLong peerRequests(String service, long now) {
 		return this.peers.spending(service, this.settings.retryWindowMillis(), now)
 			.stream()
-			.mapToLong(ServiceSpending::requests)
+			.mapToLong(RetryBudgetUsage::requests)
 			.findFirst();
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -27,7 +27,7 @@
 import dev.laneworks.core.gossip.GossipOutputs;
 import dev.laneworks.core.gossip.GossipSettings;
 import dev.laneworks.core.gossip.LoadUpdate;
-import dev.laneworks.core.gossip.ServiceSpending;
+import dev.laneworks.core.gossip.RetryBudgetUsage;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.handover.StatePiece;
 import dev.laneworks.core.handover.StateQuestion;
@@ -206,7 +206,7 @@
 
 	// Return the other entries' use of the retry budget; empty while no other entry is
 	// known.
-	Optional<ServiceSpending> spending(String service, long windowMillis, long now) {
+	Optional<RetryBudgetUsage> spending(String service, long windowMillis, long now) {
 		return this.gossip.spendingOfOthers(service, windowMillis, now);
 	}
 
@@ -262,7 +262,7 @@
 	}
 
 	@Override
-	public List<ServiceSpending> ownSpending() {
+	public List<RetryBudgetUsage> ownSpending() {
 		return this.retries.spending(this.loop.now());
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
@@ -6,7 +6,7 @@
 import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.RateLimitUpdate;
-import dev.laneworks.core.gossip.ServiceSpending;
+import dev.laneworks.core.gossip.RetryBudgetUsage;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.wire.proto.Protocol;
 
@@ -37,11 +37,11 @@
 
 	static LoadUpdate decode(Protocol.EntryNews update) {
 		List<WorkAtTarget> work = update.getWorkList().stream().map(EntryNewsCodec::decode).toList();
-		List<ServiceSpending> spending = update.getSpendingList().stream().map(EntryNewsCodec::decode).toList();
+		List<RetryBudgetUsage> usage = update.getSpendingList().stream().map(EntryNewsCodec::decode).toList();
 		BackpressureUpdate signals = new BackpressureUpdate(update.getLimitsList().stream().map(EntryNewsCodec::decode).toList(),
 				update.getLeavingList().stream().map(TargetIncarnationFormat::parse).toList());
 		return new LoadUpdate(update.getInstance(), update.getDataCentre(), update.getIncarnation(),
-				update.getSequence(), update.getEnding(), update.getPartial(), update.getAgainMillis(), work, spending,
+				update.getSequence(), update.getEnding(), update.getPartial(), update.getAgainMillis(), work, usage,
 				signals, update.getPeersList());
 	}
 
@@ -58,11 +58,11 @@
 			.build();
 	}
 
-	private static Protocol.ServiceSpending encode(ServiceSpending spending) {
+	private static Protocol.ServiceSpending encode(RetryBudgetUsage usage) {
 		return Protocol.ServiceSpending.newBuilder()
-			.setService(spending.service())
-			.setRequests(spending.requests())
-			.setRepeats(spending.repeats())
+			.setService(usage.service())
+			.setRequests(usage.requests())
+			.setRepeats(usage.repeats())
 			.build();
 	}
 
@@ -87,8 +87,8 @@
 				work.getLeaving());
 	}
 
-	private static ServiceSpending decode(Protocol.ServiceSpending spending) {
-		return new ServiceSpending(spending.getService(), spending.getRequests(), spending.getRepeats());
+	private static RetryBudgetUsage decode(Protocol.ServiceSpending spending) {
+		return new RetryBudgetUsage(spending.getService(), spending.getRequests(), spending.getRepeats());
 	}
 
 }
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
@@ -7,7 +7,7 @@
 import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.RateLimitUpdate;
-import dev.laneworks.core.gossip.ServiceSpending;
+import dev.laneworks.core.gossip.RetryBudgetUsage;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import org.junit.jupiter.api.Test;
 
@@ -23,7 +23,7 @@
 		TargetRun incarnation = TargetRun.of("t", 1_700_000_000_000L);
 		LoadUpdate update = new LoadUpdate("e", "z", 7, 3, true, true, 1_000,
 				List.of(new WorkAtTarget(incarnation, 1, 2, 3, 4, true, 5, true)),
-				List.of(new ServiceSpending("s", 6, 7)),
+				List.of(new RetryBudgetUsage("s", 6, 7)),
 				new BackpressureUpdate(
 						List.of(new RateLimitUpdate(incarnation, OptionalDouble.of(2.7), 40),
 								new RateLimitUpdate(TargetRun.of("u"), OptionalDouble.empty(), 0),
