--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -66,7 +66,7 @@
 	private final Set<TargetRun> changedTargets = new HashSet<>();
 
 	/** The widest reach of a change that was not sent yet. */
-	private ChangeReach pendingReach = ChangeReach.NEAR;
+	private UpdateScope pendingScope = UpdateScope.NEAR;
 
 	private List<RetryBudgetUsage> lastSentSpending = List.of();
 
@@ -127,20 +127,20 @@
 	/**
 	 * Record that the work of this entry at a target changed, and schedule an update.
 	 * @param target the incarnation of the target
-	 * @param requiredReach the entries that must receive the change
+	 * @param requiredScope the entries that must receive the change
 	 * @param now the current time in milliseconds
 	 */
-	public void changed(TargetRun target, ChangeReach requiredReach, long now) {
+	public void changed(TargetRun target, UpdateScope requiredScope, long now) {
 		if (this.updates.isEnding()) {
 			return;
 		}
 		this.changedTargets.add(target);
-		boolean isUrgent = requiredReach == ChangeReach.CONCERNED;
+		boolean isUrgent = requiredScope == UpdateScope.INVOLVED;
 		if (isUrgent && !this.announcesMoves) {
 			this.announcesMoves = true;
 			this.timers.at(now + this.settings.movingMillis(), this::announceMoves);
 		}
-		this.pendingReach = (requiredReach.compareTo(this.pendingReach) > 0) ? requiredReach : this.pendingReach;
+		this.pendingScope = (requiredScope.compareTo(this.pendingScope) > 0) ? requiredScope : this.pendingScope;
 		long due = isUrgent ? now : Math.max(now, this.lastSentAt + this.settings.gapMillis());
 		if (due < this.nextSendAt) {
 			this.nextSendAt = due;
@@ -378,14 +378,14 @@
 		Set<TargetRun> sent = Set.copyOf(this.changedTargets);
 		send(receivers(sent), workAt(sent), now);
 		this.changedTargets.clear();
-		this.pendingReach = ChangeReach.NEAR;
+		this.pendingScope = UpdateScope.NEAR;
 	}
 
 	private Collection<String> receivers(Set<TargetRun> sent) {
-		return switch (this.pendingReach) {
+		return switch (this.pendingScope) {
 			case NEAR -> this.selector.sampleNear();
-			case CONCERNED -> this.selector.concernedBy(sent);
-			case WIDE -> this.selector.wide(sent);
+			case INVOLVED -> this.selector.concernedBy(sent);
+			case SAMPLE -> this.selector.wide(sent);
 			case ALL -> this.known.addresses();
 		};
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipSettings.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipSettings.java
@@ -14,7 +14,7 @@
  * @param fanOut the most near entries that receive a change before the heartbeat; in a
  * fleet of up to this size all entries are near
  * @param mostTold the most entries, besides those concerned, that receive a change of
- * {@link ChangeReach#WIDE}; bounds the traffic of an entry as the fleet grows
+ * {@link UpdateScope#SAMPLE}; bounds the traffic of an entry as the fleet grows
  * @param movingMillis the interval of updates while an entry moves generations away from
  * a draining target, in milliseconds
  * @param turnMillis the silence after which an entry loses its turn, in milliseconds;
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ChangeReach.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/UpdateScope.java
@@ -5,7 +5,7 @@
  *
  * @since 0.2
  */
-public enum ChangeReach {
+public enum UpdateScope {
 
 	/** Some near entries, batched with other recent changes. */
 	NEAR,
@@ -14,13 +14,13 @@
 	 * Some near entries and all entries with work at the target, immediately, because
 	 * they wait for the change.
 	 */
-	CONCERNED,
+	INVOLVED,
 
 	/**
 	 * All entries in a small fleet and otherwise a sample, batched with other recent
 	 * changes, because any of them may be about to use the same target.
 	 */
-	WIDE,
+	SAMPLE,
 
 	/** All entries, batched with other recent changes. */
 	ALL
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -101,13 +101,13 @@
 	void batchesChangesUnlessOthersWaitForThem() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.NEAR, 110);
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.NEAR, 112);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.NEAR, 110);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.NEAR, 112);
 		this.timers.run(120);
 		assertThat(this.receivers).isEmpty();
 		this.timers.run(125);
 		assertThat(this.receivers).hasSize(1);
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 126);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.INVOLVED, 126);
 		this.timers.run(126);
 		assertThat(this.receivers).hasSize(2);
 	}
@@ -137,7 +137,7 @@
 				new LoadUpdate("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.signals, List.of()), 0);
 		assertThat(this.receivedSignals).containsExactly(this.signals);
 		assertThat(this.lastUpdate.signals()).isEqualTo(this.signals);
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.ALL, 100);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.ALL, 100);
 		this.timers.run(200);
 		assertThat(this.lastUpdate.partial()).isTrue();
 		assertThat(this.lastUpdate.signals()).isEqualTo(this.signals);
@@ -172,7 +172,7 @@
 	void sendsFrequentUpdatesWhileMoving() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
 		this.ownWork = List.of(moving("t", 1, true));
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 100);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.INVOLVED, 100);
 		this.timers.run(100);
 		this.receivers.clear();
 		this.timers.run(160);
@@ -204,7 +204,7 @@
 		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
 		this.gossip.start(0);
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.NEAR, 100);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.NEAR, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200");
 		assertThat(this.lastUpdate.partial()).isTrue();
@@ -265,7 +265,7 @@
 			this.gossip.received("10.0.0." + i + ":7200", distant("e" + i, i), 0);
 		}
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.WIDE, 100);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.SAMPLE, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).hasSize(10);
 		this.gossip.received("10.0.0.77:7200", distant("worker", 77, work(1, 1)), 150);
@@ -273,7 +273,7 @@
 			this.gossip.received("10.0.1." + i + ":7200", distant("e" + i, i), 150);
 		}
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.WIDE, 200);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.SAMPLE, 200);
 		this.timers.run(200);
 		assertThat(this.receivers.size()).isAtMost(SETTINGS.mostTold() + 1);
 		assertThat(this.receivers.size()).isAtLeast(SETTINGS.mostTold());
@@ -286,12 +286,12 @@
 		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
 		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.ALL, 100);
-		this.gossip.changed(TargetRun.of("u"), ChangeReach.NEAR, 100);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.ALL, 100);
+		this.gossip.changed(TargetRun.of("u"), UpdateScope.NEAR, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.3:7200", "10.0.0.4:7200");
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("u"), ChangeReach.NEAR, 200);
+		this.gossip.changed(TargetRun.of("u"), UpdateScope.NEAR, 200);
 		this.timers.run(200);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200");
 	}
@@ -302,7 +302,7 @@
 		this.gossip.received("10.0.0.3:7200", distant("three", 3, work(1, 1)), 0);
 		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 100);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.INVOLVED, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.3:7200");
 	}
@@ -338,7 +338,7 @@
 		this.gossip.end(200);
 		assertThat(this.lastUpdate.shuttingDown()).isTrue();
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), ChangeReach.CONCERNED, 210);
+		this.gossip.changed(TargetRun.of("t"), UpdateScope.INVOLVED, 210);
 		this.timers.run(10_000);
 		assertThat(this.receivers).isEmpty();
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -22,12 +22,12 @@
 import dev.laneworks.core.follow.SharedReading;
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.BackpressureUpdate;
-import dev.laneworks.core.gossip.ChangeReach;
 import dev.laneworks.core.gossip.Gossip;
 import dev.laneworks.core.gossip.GossipOutputs;
 import dev.laneworks.core.gossip.GossipSettings;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.RetryBudgetUsage;
+import dev.laneworks.core.gossip.UpdateScope;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.handover.StatePiece;
 import dev.laneworks.core.handover.StateQuestion;
@@ -101,12 +101,12 @@
 
 	// Started work is announced widely: with the regular gossip interval, entries of
 	// other data centres would all select the same idle engine meanwhile.
-	private static ChangeReach reach(TargetBeliefs.Change change) {
+	private static UpdateScope reach(TargetBeliefs.Change change) {
 		return switch (change) {
-			case AWAITED -> ChangeReach.CONCERNED;
-			case LEAVING -> ChangeReach.ALL;
-			case BEGUN -> ChangeReach.WIDE;
-			case OTHER -> ChangeReach.NEAR;
+			case AWAITED -> UpdateScope.INVOLVED;
+			case LEAVING -> UpdateScope.ALL;
+			case BEGUN -> UpdateScope.SAMPLE;
+			case OTHER -> UpdateScope.NEAR;
 		};
 	}
 
@@ -190,7 +190,7 @@
 	// Announce the back-pressure signals of a target to all other entries at once.
 	void announceNeeds(TargetRun target) {
 		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
-			this.gossip.changed(target, ChangeReach.ALL, this.loop.now());
+			this.gossip.changed(target, UpdateScope.ALL, this.loop.now());
 		}
 	}
 
