--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
@@ -196,7 +196,7 @@
 	public double heldTokens(ListedTarget target, double tokensOfOthers, long now) {
 		TargetBelief estimate = of(target);
 		return estimate.ownTokens() + this.others.apply(target.run())
-			.map((w) -> (double) w.heldTokens())
+			.map((w) -> (double) w.reservedTokens())
 			.orElseGet(() -> estimate.othersTold(now) * tokensOfOthers);
 	}
 
@@ -206,7 +206,7 @@
 	 * @return the number of tokens
 	 */
 	public long unreadTokens(ListedTarget target) {
-		return of(target).ownUnread() + this.others.apply(target.run()).map(WorkAtTarget::unreadTokens).orElse(0L);
+		return of(target).ownUnread() + this.others.apply(target.run()).map(WorkAtTarget::pendingPromptTokens).orElse(0L);
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -164,7 +164,7 @@
 			return;
 		}
 		this.known.apply(from, update, now);
-		update.work().stream().filter(WorkAtTarget::leaving).forEach((w) -> this.outputs.heardLeaving(w.target()));
+		update.work().stream().filter(WorkAtTarget::draining).forEach((w) -> this.outputs.heardLeaving(w.target()));
 		this.outputs.heardNeeds(update.signals());
 		if (knownPeer.isEmpty()) {
 			this.audit
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/WorkAtTarget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/WorkAtTarget.java
@@ -9,17 +9,17 @@
  *
  * @param target the incarnation of the target
  * @param requests the number of requests in progress
- * @param heldTokens the engine memory that they use and will use soon, copies included,
+ * @param reservedTokens the engine memory that they use and will use soon, copies included,
  * in tokens
- * @param unreadTokens the prompt tokens of requests whose answer has not begun
+ * @param pendingPromptTokens the prompt tokens of requests whose answer has not begun
  * @param toMove the number of generations to be moved away because the target is draining
  * @param copying whether a generation is being copied from or to the target
  * @param refused the number of refused connections since the last successful one
- * @param leaving whether the target reported to the entry that it is draining
+ * @param draining whether the target reported to the entry that it is draining
  * @since 0.2
  */
-public record WorkAtTarget(TargetRun target, int requests, long heldTokens, long unreadTokens, int toMove,
-		boolean copying, int refused, boolean leaving) {
+public record WorkAtTarget(TargetRun target, int requests, long reservedTokens, long pendingPromptTokens, int toMove,
+		boolean copying, int refused, boolean draining) {
 
 	public WorkAtTarget {
 		Objects.requireNonNull(target, "target must not be null");
@@ -40,9 +40,9 @@
 	 * @return the sum of each count
 	 */
 	public WorkAtTarget plus(WorkAtTarget other) {
-		return new WorkAtTarget(this.target, this.requests + other.requests, this.heldTokens + other.heldTokens,
-				this.unreadTokens + other.unreadTokens, this.toMove + other.toMove, this.copying || other.copying,
-				this.refused + other.refused, this.leaving || other.leaving);
+		return new WorkAtTarget(this.target, this.requests + other.requests, this.reservedTokens + other.reservedTokens,
+				this.pendingPromptTokens + other.pendingPromptTokens, this.toMove + other.toMove, this.copying || other.copying,
+				this.refused + other.refused, this.draining || other.draining);
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
@@ -127,8 +127,8 @@
 				WorkAtTarget sum = all.getOrDefault(engine, none);
 				WorkAtTarget own = work.get(entry).getOrDefault(engine, none);
 				entry.others.put(engine,
-						new WorkAtTarget(run, sum.requests() - own.requests(), sum.heldTokens() - own.heldTokens(),
-								sum.unreadTokens() - own.unreadTokens(), 0, false, 0, false));
+						new WorkAtTarget(run, sum.requests() - own.requests(), sum.reservedTokens() - own.reservedTokens(),
+								sum.pendingPromptTokens() - own.pendingPromptTokens(), 0, false, 0, false));
 			}
 		}
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -54,9 +54,9 @@
 		assertThat(this.gossip.others(TargetRun.of("t"))).isEqualTo(Optional.empty());
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
 		this.gossip.received("10.0.0.3:7200", news("three", 3, 1, work(1, 100)), 0);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().heldTokens()).isEqualTo(1_000);
+		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(1_000);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, work(1, 50)), 10);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().heldTokens()).isEqualTo(150);
+		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(150);
 		assertThat(this.gossip.others(TargetRun.of("unknown")).get().requests()).isEqualTo(0);
 	}
 
@@ -64,9 +64,9 @@
 	void ignoresLateUpdateOfTheSameIncarnationOnly() {
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 7, work(1, 700)), 0);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 6, work(1, 600)), 1);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().heldTokens()).isEqualTo(700);
+		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(700);
 		this.gossip.received("10.0.0.2:7200", news("two", 99, 1, work(0, 0)), 2);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().heldTokens()).isEqualTo(0);
+		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(0);
 	}
 
 	@Test
@@ -314,11 +314,11 @@
 				List.of(new WorkAtTarget(TargetRun.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), BackpressureUpdate.NONE,
 				List.of());
 		this.gossip.received("10.0.0.2:7200", partial, 10);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().heldTokens()).isEqualTo(900);
-		assertThat(this.gossip.others(TargetRun.of("u")).get().heldTokens()).isEqualTo(70);
+		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(900);
+		assertThat(this.gossip.others(TargetRun.of("u")).get().reservedTokens()).isEqualTo(70);
 		this.gossip.received("10.0.0.2:7200", news("two", 2, 3, work(1, 40)), 20);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().heldTokens()).isEqualTo(40);
-		assertThat(this.gossip.others(TargetRun.of("u")).get().heldTokens()).isEqualTo(0);
+		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(40);
+		assertThat(this.gossip.others(TargetRun.of("u")).get().reservedTokens()).isEqualTo(0);
 	}
 
 	@Test
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
@@ -49,12 +49,12 @@
 		return Protocol.WorkAtTarget.newBuilder()
 			.setTarget(TargetIncarnationFormat.format(work.target()))
 			.setRequests(work.requests())
-			.setHeldTokens(work.heldTokens())
-			.setUnreadTokens(work.unreadTokens())
+			.setHeldTokens(work.reservedTokens())
+			.setUnreadTokens(work.pendingPromptTokens())
 			.setToMove(work.toMove())
 			.setCopying(work.copying())
 			.setRefused(work.refused())
-			.setLeaving(work.leaving())
+			.setLeaving(work.draining())
 			.build();
 	}
 
