--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -164,8 +164,8 @@
 			return;
 		}
 		this.known.apply(from, update, now);
-		update.work().stream().filter(WorkAtTarget::draining).forEach((w) -> this.outputs.heardLeaving(w.target()));
-		this.outputs.heardNeeds(update.signals());
+		update.work().stream().filter(WorkAtTarget::draining).forEach((w) -> this.outputs.targetDraining(w.target()));
+		this.outputs.signalsReceived(update.signals());
 		if (knownPeer.isEmpty()) {
 			this.audit
 				.record(AuditEvent.of(AuditKind.MEMBERSHIP, update.instance(), "", "entry discovered at " + from));
@@ -336,7 +336,7 @@
 		}
 		removeSilent(now);
 		this.heartbeats++;
-		List<RetryBudgetUsage> usage = this.outputs.ownSpending();
+		List<RetryBudgetUsage> usage = this.outputs.ownBudgetUsage();
 		boolean hasSpent = !usage.equals(this.lastSentSpending);
 		this.lastSentSpending = usage;
 		List<String> near = nearAndUnknownSeeds();
@@ -392,7 +392,7 @@
 
 	// Keeps this entry from losing its turn while other entries wait for its copies.
 	private void announceMoves(long now) {
-		Set<TargetRun> moving = this.outputs.ownWork()
+		Set<TargetRun> moving = this.outputs.localWork()
 			.stream()
 			.filter((w) -> w.copying() || w.toMove() > 0)
 			.map(WorkAtTarget::target)
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
@@ -22,30 +22,30 @@
 	 * Handle a report of another entry that a target is draining.
 	 * @param target the incarnation of the target
 	 */
-	void heardLeaving(TargetRun target);
+	void targetDraining(TargetRun target);
 
 	/**
 	 * Handle back-pressure signals that another entry passes on.
 	 * @param signals the signals that it received from targets or from other entries
 	 */
-	void heardNeeds(BackpressureUpdate signals);
+	void signalsReceived(BackpressureUpdate signals);
 
 	/**
 	 * Return the back-pressure signals of targets to pass on.
 	 * @return the latest signals, including those from other entries
 	 */
-	BackpressureUpdate needs();
+	BackpressureUpdate signals();
 
 	/**
 	 * Return the current work of this entry.
 	 * @return its work at each target where it has any
 	 */
-	List<WorkAtTarget> ownWork();
+	List<WorkAtTarget> localWork();
 
 	/**
 	 * Return the use of the retry budget by this entry within the window.
 	 * @return the use for each service that it received requests for
 	 */
-	List<RetryBudgetUsage> ownSpending();
+	List<RetryBudgetUsage> ownBudgetUsage();
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
@@ -59,7 +59,7 @@
 	 * @return an update with the next sequence number
 	 */
 	LoadUpdate ofAllWork(long againMillis, List<String> peers) {
-		return build(false, againMillis, this.outputs.ownWork(), peers);
+		return build(false, againMillis, this.outputs.localWork(), peers);
 	}
 
 	/**
@@ -72,7 +72,7 @@
 	LoadUpdate ofWorkAt(Set<TargetRun> targets, long againMillis) {
 		Map<TargetRun, WorkAtTarget> work = new HashMap<>();
 		targets.forEach((t) -> work.put(t, WorkAtTarget.none(t)));
-		this.outputs.ownWork()
+		this.outputs.localWork()
 			.stream()
 			.filter((w) -> targets.contains(w.target()))
 			.forEach((w) -> work.put(w.target(), w));
@@ -82,7 +82,7 @@
 	private LoadUpdate build(boolean isPartial, long againMillis, List<WorkAtTarget> work, List<String> peers) {
 		this.sequence++;
 		return new LoadUpdate(this.instance, this.dataCentre, this.incarnation, this.sequence, this.ending, isPartial,
-				againMillis, work, this.outputs.ownSpending(), this.outputs.needs(), peers);
+				againMillis, work, this.outputs.ownBudgetUsage(), this.outputs.signals(), peers);
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -379,27 +379,27 @@
 		}
 
 		@Override
-		public void heardLeaving(TargetRun target) {
+		public void targetDraining(TargetRun target) {
 			GossipTests.this.draining.add(target.id());
 		}
 
 		@Override
-		public void heardNeeds(BackpressureUpdate news) {
+		public void signalsReceived(BackpressureUpdate news) {
 			GossipTests.this.receivedSignals.add(news);
 		}
 
 		@Override
-		public BackpressureUpdate needs() {
+		public BackpressureUpdate signals() {
 			return GossipTests.this.signals;
 		}
 
 		@Override
-		public List<WorkAtTarget> ownWork() {
+		public List<WorkAtTarget> localWork() {
 			return GossipTests.this.ownWork;
 		}
 
 		@Override
-		public List<RetryBudgetUsage> ownSpending() {
+		public List<RetryBudgetUsage> ownBudgetUsage() {
 			return List.of();
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -242,27 +242,27 @@
 	}
 
 	@Override
-	public void heardLeaving(TargetRun target) {
+	public void targetDraining(TargetRun target) {
 		this.drainingListener.accept(target);
 	}
 
 	@Override
-	public void heardNeeds(BackpressureUpdate signals) {
+	public void signalsReceived(BackpressureUpdate signals) {
 		this.needs.ifPresent((n) -> n.heard(signals, this.listed, this.loop.now()));
 	}
 
 	@Override
-	public BackpressureUpdate needs() {
+	public BackpressureUpdate signals() {
 		return this.needs.map((n) -> n.news(this.loop.now())).orElse(BackpressureUpdate.NONE);
 	}
 
 	@Override
-	public List<WorkAtTarget> ownWork() {
+	public List<WorkAtTarget> localWork() {
 		return this.beliefs.ownWork();
 	}
 
 	@Override
-	public List<RetryBudgetUsage> ownSpending() {
+	public List<RetryBudgetUsage> ownBudgetUsage() {
 		return this.retries.spending(this.loop.now());
 	}
 
