--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -68,7 +68,7 @@
 	/** The widest reach of a change that was not sent yet. */
 	private UpdateScope pendingScope = UpdateScope.NEAR;
 
-	private List<RetryBudgetUsage> lastSentSpending = List.of();
+	private List<RetryBudgetUsage> lastSentUsage = List.of();
 
 	private int heartbeats;
 
@@ -119,7 +119,7 @@
 	 * Announce to all entries that this one shuts down, and send no further update.
 	 * @param now the current time in milliseconds
 	 */
-	public void end(long now) {
+	public void shutDown(long now) {
 		this.updates.end();
 		sendAllWork(this.known.addresses(), now);
 	}
@@ -130,7 +130,7 @@
 	 * @param requiredScope the entries that must receive the change
 	 * @param now the current time in milliseconds
 	 */
-	public void changed(TargetRun target, UpdateScope requiredScope, long now) {
+	public void workChanged(TargetRun target, UpdateScope requiredScope, long now) {
 		if (this.updates.isEnding()) {
 			return;
 		}
@@ -154,7 +154,7 @@
 	 * @param update the load update, complete or partial
 	 * @param now the current time in milliseconds
 	 */
-	public void received(String from, LoadUpdate update, long now) {
+	public void handleUpdate(String from, LoadUpdate update, long now) {
 		Optional<Peer> knownPeer = this.known.at(from);
 		if (this.updates.isFromThisProcess(update) || knownPeer.filter((p) -> !p.isReplacedBy(update)).isPresent()) {
 			return;
@@ -179,7 +179,7 @@
 	 * @param target the incarnation of the target
 	 * @return the sum, which may be zero; empty while no other entry is known
 	 */
-	public Optional<WorkAtTarget> others(TargetRun target) {
+	public Optional<WorkAtTarget> workOfOthers(TargetRun target) {
 		return (this.known.size() > 0) ? Optional.of(this.known.workAt(target)) : Optional.empty();
 	}
 
@@ -191,7 +191,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the sum; empty while no other entry is known
 	 */
-	public Optional<RetryBudgetUsage> spendingOfOthers(String service, long windowMillis, long now) {
+	public Optional<RetryBudgetUsage> budgetUsageOfOthers(String service, long windowMillis, long now) {
 		return this.known.spending(service, windowMillis, now);
 	}
 
@@ -209,7 +209,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if it is the turn of this entry
 	 */
-	public boolean isFirstToMove(TargetRun target, long sinceNoticeMillis, long now) {
+	public boolean mayStartMove(TargetRun target, long sinceNoticeMillis, long now) {
 		long key = Rendezvous.hash(target.id());
 		long own = Rendezvous.weight(key, this.instance);
 		for (Peer peer : this.known.all().values()) {
@@ -238,7 +238,7 @@
 	 * @param target the id of the target
 	 * @return the count
 	 */
-	public int before(String target) {
+	public int rankFor(String target) {
 		long key = Rendezvous.hash(target);
 		long own = Rendezvous.weight(key, this.instance);
 		return (int) this.known.all()
@@ -262,7 +262,7 @@
 	 * those of the same data centre.
 	 * @return the addresses of the known entries
 	 */
-	public List<String> nearBy() {
+	public List<String> nearAddresses() {
 		return this.selector.near();
 	}
 
@@ -284,7 +284,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code false} if another known entry probes them
 	 */
-	public boolean asksIn(String targetDataCentre, ToLongBiFunction<String, String> rank, long now) {
+	public boolean isProber(String targetDataCentre, ToLongBiFunction<String, String> rank, long now) {
 		List<Peer> local = this.known.all().values().stream().filter((p) -> isIn(targetDataCentre, p)).toList();
 		if (targetDataCentre.equals(this.dataCentre)) {
 			long awake = this.settings.heartbeatMillis() + this.settings.turnMillis();
@@ -310,7 +310,7 @@
 	 * compared as unsigned
 	 * @return the addresses of the known entries
 	 */
-	public List<String> firstOfOtherDataCentres(int count, ToLongBiFunction<String, String> rank) {
+	public List<String> topOfOtherDataCentres(int count, ToLongBiFunction<String, String> rank) {
 		return this.selector.firstOfOthers(count, rank);
 	}
 
@@ -326,7 +326,7 @@
 	 * Return the number of other entries.
 	 * @return the count of known entries
 	 */
-	public int peers() {
+	public int peerCount() {
 		return this.known.size();
 	}
 
@@ -337,8 +337,8 @@
 		removeSilent(now);
 		this.heartbeats++;
 		List<RetryBudgetUsage> usage = this.outputs.ownBudgetUsage();
-		boolean hasSpent = !usage.equals(this.lastSentSpending);
-		this.lastSentSpending = usage;
+		boolean hasSpent = !usage.equals(this.lastSentUsage);
+		this.lastSentUsage = usage;
 		List<String> near = nearAndUnknownSeeds();
 		List<String> distant = hasSpent ? this.selector.distant() : this.selector.distantAt(this.heartbeats);
 		sendAllWork(near, now);
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -51,63 +51,63 @@
 
 	@Test
 	void nextUpdateOfAPeerReplacesItsWork() {
-		assertThat(this.gossip.others(TargetRun.of("t"))).isEqualTo(Optional.empty());
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
-		this.gossip.received("10.0.0.3:7200", news("three", 3, 1, work(1, 100)), 0);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(1_000);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, work(1, 50)), 10);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(150);
-		assertThat(this.gossip.others(TargetRun.of("unknown")).get().requests()).isEqualTo(0);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("t"))).isEqualTo(Optional.empty());
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
+		this.gossip.handleUpdate("10.0.0.3:7200", news("three", 3, 1, work(1, 100)), 0);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(1_000);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, work(1, 50)), 10);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(150);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("unknown")).get().requests()).isEqualTo(0);
 	}
 
 	@Test
 	void ignoresLateUpdateOfTheSameIncarnationOnly() {
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 7, work(1, 700)), 0);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 6, work(1, 600)), 1);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(700);
-		this.gossip.received("10.0.0.2:7200", news("two", 99, 1, work(0, 0)), 2);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 7, work(1, 700)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 6, work(1, 600)), 1);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(700);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 99, 1, work(0, 0)), 2);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(0);
 	}
 
 	@Test
 	void silentPeerIsRemovedWithItsWork() {
 		this.gossip.start(0);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
 		this.timers.run(3_000);
-		assertThat(this.gossip.peers()).isEqualTo(1);
+		assertThat(this.gossip.peerCount()).isEqualTo(1);
 		this.timers.run(4_000);
-		assertThat(this.gossip.peers()).isEqualTo(0);
-		assertThat(this.gossip.others(TargetRun.of("t"))).isEqualTo(Optional.empty());
+		assertThat(this.gossip.peerCount()).isEqualTo(0);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("t"))).isEqualTo(Optional.empty());
 	}
 
 	@Test
 	void peerThatShutsDownIsRemovedAtOnce() {
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
-		this.gossip.received("10.0.0.2:7200",
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200",
 				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), BackpressureUpdate.NONE, List.of()),
 				5);
-		assertThat(this.gossip.peers()).isEqualTo(0);
+		assertThat(this.gossip.peerCount()).isEqualTo(0);
 	}
 
 	@Test
 	void contactsEntriesThatPeersAdvertise() {
 		LoadUpdate update = new LoadUpdate("two", "z", 2, 1, false, false, 1_000, List.of(), List.of(), BackpressureUpdate.NONE,
 				List.of("10.0.0.5:7200", "10.0.0.1:7200"));
-		this.gossip.received("10.0.0.2:7200", update, 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update, 0);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.5:7200").inOrder();
 	}
 
 	@Test
 	void batchesChangesUnlessOthersWaitForThem() {
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.NEAR, 110);
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.NEAR, 112);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.NEAR, 110);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.NEAR, 112);
 		this.timers.run(120);
 		assertThat(this.receivers).isEmpty();
 		this.timers.run(125);
 		assertThat(this.receivers).hasSize(1);
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.INVOLVED, 126);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.INVOLVED, 126);
 		this.timers.run(126);
 		assertThat(this.receivers).hasSize(2);
 	}
@@ -119,25 +119,25 @@
 				List.of());
 		LoadUpdate three = new LoadUpdate("three", "z", 3, 1, false, false, 1_000, List.of(), List.of(spent),
 				BackpressureUpdate.NONE, List.of());
-		assertThat(this.gossip.spendingOfOthers("s", 10_000, 0)).isEqualTo(Optional.empty());
-		this.gossip.received("10.0.0.2:7200", two, 0);
-		this.gossip.received("10.0.0.3:7200", three, 0);
-		this.gossip.received("10.0.0.2:7200",
+		assertThat(this.gossip.budgetUsageOfOthers("s", 10_000, 0)).isEqualTo(Optional.empty());
+		this.gossip.handleUpdate("10.0.0.2:7200", two, 0);
+		this.gossip.handleUpdate("10.0.0.3:7200", three, 0);
+		this.gossip.handleUpdate("10.0.0.2:7200",
 				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), BackpressureUpdate.NONE, List.of()),
 				100);
-		assertThat(this.gossip.spendingOfOthers("s", 10_000, 5_000).get().repeats()).isEqualTo(8);
-		assertThat(this.gossip.spendingOfOthers("s", 10_000, 10_001).get().repeats()).isEqualTo(4);
+		assertThat(this.gossip.budgetUsageOfOthers("s", 10_000, 5_000).get().repeats()).isEqualTo(8);
+		assertThat(this.gossip.budgetUsageOfOthers("s", 10_000, 10_001).get().repeats()).isEqualTo(4);
 	}
 
 	@Test
 	void everyUpdateCarriesBackPressureSignals() {
 		this.signals = new BackpressureUpdate(List.of(new RateLimitUpdate(TargetRun.of("t"), OptionalDouble.of(3), 40)),
 				List.of(TargetRun.of("u")));
-		this.gossip.received("10.0.0.2:7200",
+		this.gossip.handleUpdate("10.0.0.2:7200",
 				new LoadUpdate("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.signals, List.of()), 0);
 		assertThat(this.receivedSignals).containsExactly(this.signals);
 		assertThat(this.lastUpdate.signals()).isEqualTo(this.signals);
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.ALL, 100);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.ALL, 100);
 		this.timers.run(200);
 		assertThat(this.lastUpdate.partial()).isTrue();
 		assertThat(this.lastUpdate.signals()).isEqualTo(this.signals);
@@ -146,33 +146,33 @@
 	@Test
 	void entriesMoveInRankOrderAndWaitForACopyInProgress() {
 		String target = targetRanking("two", "me");
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, false)), 0);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 100, 100)).isFalse();
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, moving(target, 0, false)), 0);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 5, 5)).isFalse();
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 20, 20)).isTrue();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, false)), 0);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 100, 100)).isFalse();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 0, false)), 0);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 5, 5)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 20, 20)).isTrue();
 		String mine = targetRanking("me", "two");
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 3, moving(mine, 2, false)), 0);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(mine), 0, 0)).isTrue();
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 4, moving(mine, 2, true)), 0);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(mine), 100, 100)).isFalse();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, moving(mine, 2, false)), 0);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(mine), 0, 0)).isTrue();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 4, moving(mine, 2, true)), 0);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(mine), 100, 100)).isFalse();
 	}
 
 	@Test
 	void silentPeerLosesItsTurn() {
 		String target = targetRanking("two", "me");
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, moving(target, 2, true)), 0);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 200, 200)).isFalse();
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 201, 201)).isTrue();
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, moving(target, 2, true)), 210);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 211, 211)).isFalse();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 2, true)), 0);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 200, 200)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 201, 201)).isTrue();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 2, true)), 210);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 211, 211)).isFalse();
 	}
 
 	@Test
 	void sendsFrequentUpdatesWhileMoving() {
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
 		this.ownWork = List.of(moving("t", 1, true));
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.INVOLVED, 100);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.INVOLVED, 100);
 		this.timers.run(100);
 		this.receivers.clear();
 		this.timers.run(160);
@@ -187,24 +187,24 @@
 	@Test
 	void peerWithALongCopyLosesItsTurn() {
 		String target = "t";
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, true)), 0);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, moving(target, 1, true)), 400);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 500, 500)).isFalse();
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 3, moving(target, 1, true)), 490);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 501, 501)).isTrue();
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 4, moving(target, 0, false)), 510);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 5, moving(target, 1, true)), 520);
-		assertThat(this.gossip.isFirstToMove(TargetRun.of(target), 530, 530)).isFalse();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, true)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 1, true)), 400);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 500, 500)).isFalse();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, moving(target, 1, true)), 490);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 501, 501)).isTrue();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 4, moving(target, 0, false)), 510);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 5, moving(target, 1, true)), 520);
+		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 530, 530)).isFalse();
 	}
 
 	@Test
 	void nearPeersReceiveChangesAtOnceAndDistantOnesByHeartbeat() {
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
-		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
-		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
+		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3), 0);
+		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.gossip.start(0);
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.NEAR, 100);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.NEAR, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200");
 		assertThat(this.lastUpdate.partial()).isTrue();
@@ -218,9 +218,9 @@
 
 	@Test
 	void passesOnThatAPeerReportsADrainingTarget() {
-		this.gossip.received("10.0.0.2:7200",
+		this.gossip.handleUpdate("10.0.0.2:7200",
 				news("two", 2, 1, new WorkAtTarget(TargetRun.of("t"), 0, 0, 0, 0, false, 0, true)), 0);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 2, work(1, 1)), 1);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, work(1, 1)), 1);
 		assertThat(this.draining).containsExactly("t");
 	}
 
@@ -228,52 +228,52 @@
 	void workIsKeptSeparateForEachTargetIncarnation() {
 		TargetRun former = TargetRun.of("t", 1_000);
 		WorkAtTarget work = new WorkAtTarget(former, 3, 70, 10, 1, true, 2, true);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work), 0);
-		assertThat(this.gossip.others(former)).isEqualTo(Optional.of(work));
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work), 0);
+		assertThat(this.gossip.workOfOthers(former)).isEqualTo(Optional.of(work));
 		TargetRun started = TargetRun.of("t", 900);
-		assertThat(this.gossip.others(started)).isEqualTo(Optional.of(WorkAtTarget.none(started)));
+		assertThat(this.gossip.workOfOthers(started)).isEqualTo(Optional.of(WorkAtTarget.none(started)));
 		assertThat(this.gossip.isCopying(started)).isFalse();
-		assertThat(this.gossip.isFirstToMove(started, 500, 500)).isTrue();
+		assertThat(this.gossip.mayStartMove(started, 500, 500)).isTrue();
 	}
 
 	@Test
 	void firstLiveEntryProbesTheTargetsOfItsDataCentre() {
 		ToLongBiFunction<String, String> rank = (d, i) -> i.equals("two") ? 2 : 1;
-		assertThat(this.gossip.asksIn("z", rank, 0)).isTrue();
-		this.gossip.received("10.0.0.3:7200", distant("two", 2), 0);
-		assertThat(this.gossip.asksIn("z", rank, 0)).isTrue();
-		this.gossip.received("10.0.0.2:7200", news("two", 3, 1, work(1, 1)), 0);
-		assertThat(this.gossip.asksIn("z", rank, 1_200)).isFalse();
-		assertThat(this.gossip.asksIn("z", rank, 1_201)).isTrue();
+		assertThat(this.gossip.isProber("z", rank, 0)).isTrue();
+		this.gossip.handleUpdate("10.0.0.3:7200", distant("two", 2), 0);
+		assertThat(this.gossip.isProber("z", rank, 0)).isTrue();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 3, 1, work(1, 1)), 0);
+		assertThat(this.gossip.isProber("z", rank, 1_200)).isFalse();
+		assertThat(this.gossip.isProber("z", rank, 1_201)).isTrue();
 	}
 
 	@Test
 	void firstEntryOfAllProbesADataCentreWithoutEntries() {
 		ToLongBiFunction<String, String> rank = (d, i) -> (i.equals("two") == d.equals("far")) ? 2 : 1;
-		assertThat(this.gossip.asksIn("far", rank, 0)).isTrue();
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
-		assertThat(this.gossip.asksIn("far", rank, 0)).isFalse();
-		assertThat(this.gossip.asksIn("elsewhere", rank, 0)).isTrue();
-		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
+		assertThat(this.gossip.isProber("far", rank, 0)).isTrue();
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
+		assertThat(this.gossip.isProber("far", rank, 0)).isFalse();
+		assertThat(this.gossip.isProber("elsewhere", rank, 0)).isTrue();
+		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3), 0);
 		String otherDataCentre = distant("three", 3).dataCentre();
-		assertThat(this.gossip.asksIn(otherDataCentre, rank, 0)).isFalse();
+		assertThat(this.gossip.isProber(otherDataCentre, rank, 0)).isFalse();
 	}
 
 	@Test
 	void wideChangeReachesAllOfASmallFleetAndASampleOfALargeOne() {
 		for (int i = 2; i < 12; i++) {
-			this.gossip.received("10.0.0." + i + ":7200", distant("e" + i, i), 0);
+			this.gossip.handleUpdate("10.0.0." + i + ":7200", distant("e" + i, i), 0);
 		}
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.SAMPLE, 100);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.SAMPLE, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).hasSize(10);
-		this.gossip.received("10.0.0.77:7200", distant("worker", 77, work(1, 1)), 150);
+		this.gossip.handleUpdate("10.0.0.77:7200", distant("worker", 77, work(1, 1)), 150);
 		for (int i = 12; i < 100; i++) {
-			this.gossip.received("10.0.1." + i + ":7200", distant("e" + i, i), 150);
+			this.gossip.handleUpdate("10.0.1." + i + ":7200", distant("e" + i, i), 150);
 		}
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.SAMPLE, 200);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.SAMPLE, 200);
 		this.timers.run(200);
 		assertThat(this.receivers.size()).isAtMost(SETTINGS.mostTold() + 1);
 		assertThat(this.receivers.size()).isAtLeast(SETTINGS.mostTold());
@@ -282,63 +282,63 @@
 
 	@Test
 	void changeForAllReachesAllPeers() {
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
-		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
-		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
+		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3), 0);
+		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.ALL, 100);
-		this.gossip.changed(TargetRun.of("u"), UpdateScope.NEAR, 100);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.ALL, 100);
+		this.gossip.workChanged(TargetRun.of("u"), UpdateScope.NEAR, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.3:7200", "10.0.0.4:7200");
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("u"), UpdateScope.NEAR, 200);
+		this.gossip.workChanged(TargetRun.of("u"), UpdateScope.NEAR, 200);
 		this.timers.run(200);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200");
 	}
 
 	@Test
 	void moveReachesPeersWithWorkAtTheTarget() {
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
-		this.gossip.received("10.0.0.3:7200", distant("three", 3, work(1, 1)), 0);
-		this.gossip.received("10.0.0.4:7200", distant("four", 4), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
+		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3, work(1, 1)), 0);
+		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.INVOLVED, 100);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.INVOLVED, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.3:7200");
 	}
 
 	@Test
 	void partialUpdateChangesOnlyTheTargetsThatItNames() {
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
 		LoadUpdate partial = new LoadUpdate("two", "z", 2, 2, false, true, 1_000,
 				List.of(new WorkAtTarget(TargetRun.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), BackpressureUpdate.NONE,
 				List.of());
-		this.gossip.received("10.0.0.2:7200", partial, 10);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(900);
-		assertThat(this.gossip.others(TargetRun.of("u")).get().reservedTokens()).isEqualTo(70);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 3, work(1, 40)), 20);
-		assertThat(this.gossip.others(TargetRun.of("t")).get().reservedTokens()).isEqualTo(40);
-		assertThat(this.gossip.others(TargetRun.of("u")).get().reservedTokens()).isEqualTo(0);
+		this.gossip.handleUpdate("10.0.0.2:7200", partial, 10);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(900);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("u")).get().reservedTokens()).isEqualTo(70);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, work(1, 40)), 20);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(40);
+		assertThat(this.gossip.workOfOthers(TargetRun.of("u")).get().reservedTokens()).isEqualTo(0);
 	}
 
 	@Test
 	void peerWithLongerUpdateIntervalIsRemovedLater() {
 		this.gossip.start(0);
-		this.gossip.received("10.0.0.3:7200", distant("three", 3), 0);
+		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3), 0);
 		this.timers.run(9_000);
-		assertThat(this.gossip.peers()).isEqualTo(1);
+		assertThat(this.gossip.peerCount()).isEqualTo(1);
 		this.timers.run(10_000);
-		assertThat(this.gossip.peers()).isEqualTo(0);
+		assertThat(this.gossip.peerCount()).isEqualTo(0);
 	}
 
 	@Test
 	void sendsNoUpdateAfterShutdown() {
 		this.gossip.start(0);
-		this.gossip.received("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
-		this.gossip.end(200);
+		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
+		this.gossip.shutDown(200);
 		assertThat(this.lastUpdate.shuttingDown()).isTrue();
 		this.receivers.clear();
-		this.gossip.changed(TargetRun.of("t"), UpdateScope.INVOLVED, 210);
+		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.INVOLVED, 210);
 		this.timers.run(10_000);
 		assertThat(this.receivers).isEmpty();
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -92,10 +92,10 @@
 		this.gossip = new Gossip(GossipSettings.defaults(), settings.instance(), settings.dataCentre(), this.ownAddress,
 				this.seeds, this, loop.timers(), random, audit);
 		this.reading = new SharedReading(settings.instance(), settings.dataCentre(), this::sharingPeers,
-				(n) -> sendStoreUpdate(this.gossip.nearBy(), n), (n) -> sendStoreUpdate(
-						this.gossip.firstOfOtherDataCentres(SharedReading.TOLD_IN_EACH_GROUP, SharedReading::rank), n));
+				(n) -> sendStoreUpdate(this.gossip.nearAddresses(), n), (n) -> sendStoreUpdate(
+						this.gossip.topOfOtherDataCentres(SharedReading.TOLD_IN_EACH_GROUP, SharedReading::rank), n));
 		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
-			beliefs.onChange((target, change) -> this.gossip.changed(target.run(), reach(change), loop.now()));
+			beliefs.onChange((target, change) -> this.gossip.workChanged(target.run(), reach(change), loop.now()));
 		}
 	}
 
@@ -130,7 +130,7 @@
 	// Return the addresses of entries that may serve a snapshot.
 	List<String> snapshotSources() {
 		Set<String> addresses = new HashSet<>(this.seeds);
-		addresses.addAll(this.gossip.nearBy());
+		addresses.addAll(this.gossip.nearAddresses());
 		addresses.remove(this.ownAddress);
 		return List.copyOf(addresses);
 	}
@@ -166,12 +166,12 @@
 	}
 
 	void end(long now) {
-		this.gossip.end(now);
+		this.gossip.shutDown(now);
 	}
 
 	// Determine whether this entry is the one that polls the engines of a data centre.
 	boolean asksIn(String dataCentre) {
-		return this.gossip.asksIn(dataCentre, SharedReading::rank, this.loop.now());
+		return this.gossip.isProber(dataCentre, SharedReading::rank, this.loop.now());
 	}
 
 	// Set the listener for targets that reported to other entries that they are
@@ -190,29 +190,29 @@
 	// Announce the back-pressure signals of a target to all other entries at once.
 	void announceNeeds(TargetRun target) {
 		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
-			this.gossip.changed(target, UpdateScope.ALL, this.loop.now());
+			this.gossip.workChanged(target, UpdateScope.ALL, this.loop.now());
 		}
 	}
 
 	// Return the number of other known entries.
 	int count() {
-		return this.gossip.peers();
+		return this.gossip.peerCount();
 	}
 
 	// Return the other entries' work at a target; empty while no other entry is known.
 	Optional<WorkAtTarget> workAt(TargetRun target) {
-		return this.gossip.others(target);
+		return this.gossip.workOfOthers(target);
 	}
 
 	// Return the other entries' use of the retry budget; empty while no other entry is
 	// known.
 	Optional<RetryBudgetUsage> spending(String service, long windowMillis, long now) {
-		return this.gossip.spendingOfOthers(service, windowMillis, now);
+		return this.gossip.budgetUsageOfOthers(service, windowMillis, now);
 	}
 
 	@Override
 	public int entries() {
-		return this.gossip.peers() + 1;
+		return this.gossip.peerCount() + 1;
 	}
 
 	// Return the position of this entry in the order of entries for a target, from 0 to
@@ -223,12 +223,12 @@
 
 	@Override
 	public int before(String target) {
-		return this.gossip.before(target);
+		return this.gossip.rankFor(target);
 	}
 
 	@Override
 	public boolean isOurs(ListedTarget source, long sinceNotice, long now) {
-		return !this.mechanisms.use(Mechanism.COPY_TURNS) || this.gossip.isFirstToMove(source.run(), sinceNotice, now);
+		return !this.mechanisms.use(Mechanism.COPY_TURNS) || this.gossip.mayStartMove(source.run(), sinceNotice, now);
 	}
 
 	@Override
@@ -307,7 +307,7 @@
 
 		@Override
 		public void work(String from, LoadUpdate update) {
-			PeerEntries.this.loop.run(() -> PeerEntries.this.gossip.received(from, update, PeerEntries.this.loop.now()));
+			PeerEntries.this.loop.run(() -> PeerEntries.this.gossip.handleUpdate(from, update, PeerEntries.this.loop.now()));
 		}
 
 		@Override
