--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -138,10 +138,10 @@
 		boolean isUrgent = requiredScope == UpdateScope.INVOLVED;
 		if (isUrgent && !this.announcesMoves) {
 			this.announcesMoves = true;
-			this.timers.at(now + this.settings.movingMillis(), this::announceMoves);
+			this.timers.at(now + this.settings.moveUpdateMillis(), this::announceMoves);
 		}
 		this.pendingScope = (requiredScope.compareTo(this.pendingScope) > 0) ? requiredScope : this.pendingScope;
-		long due = isUrgent ? now : Math.max(now, this.lastSentAt + this.settings.gapMillis());
+		long due = isUrgent ? now : Math.max(now, this.lastSentAt + this.settings.minUpdateGapMillis());
 		if (due < this.nextSendAt) {
 			this.nextSendAt = due;
 			this.timers.at(due, this::sendChanges);
@@ -220,7 +220,7 @@
 			}
 			boolean isBefore = Long.compareUnsigned(Rendezvous.weight(key, peer.latest().instance()), own) > 0;
 			if (work.filter(WorkAtTarget::copying).isPresent()
-					|| (isBefore && (sinceNoticeMillis < this.settings.newsMillis()
+					|| (isBefore && (sinceNoticeMillis < this.settings.deliveryMillis()
 							|| work.filter((w) -> w.toMove() > 0).isPresent()))) {
 				return false;
 			}
@@ -229,7 +229,7 @@
 	}
 
 	private boolean hasLostTurn(Peer peer, TargetRun target, long now) {
-		return peer.silentMillis(now) > this.settings.turnMillis() || peer.copyingFor(target, now) > MAX_TURN_MILLIS;
+		return peer.silentMillis(now) > this.settings.maxTurnSilenceMillis() || peer.copyingFor(target, now) > MAX_TURN_MILLIS;
 	}
 
 	/**
@@ -287,7 +287,7 @@
 	public boolean isProber(String targetDataCentre, ToLongBiFunction<String, String> rank, long now) {
 		List<Peer> local = this.known.all().values().stream().filter((p) -> isIn(targetDataCentre, p)).toList();
 		if (targetDataCentre.equals(this.dataCentre)) {
-			long awake = this.settings.heartbeatMillis() + this.settings.turnMillis();
+			long awake = this.settings.heartbeatMillis() + this.settings.maxTurnSilenceMillis();
 			return isFirst(targetDataCentre, local.stream().filter((p) -> p.silentMillis(now) <= awake).toList(), rank);
 		}
 		return local.isEmpty() && isFirst(targetDataCentre, this.known.all().values(), rank);
@@ -342,7 +342,7 @@
 		List<String> near = nearAndUnknownSeeds();
 		List<String> distant = hasSpent ? this.selector.distant() : this.selector.distantAt(this.heartbeats);
 		sendAllWork(near, now);
-		send(distant, allWork(this.settings.heartbeatMillis() * this.settings.distantBeats()), now);
+		send(distant, allWork(this.settings.heartbeatMillis() * this.settings.distantHeartbeats()), now);
 		this.timers.at(now + this.settings.heartbeatMillis(), this::heartbeat);
 	}
 
@@ -400,7 +400,7 @@
 		this.announcesMoves = !moving.isEmpty() && !this.updates.isEnding();
 		if (this.announcesMoves) {
 			send(this.selector.concernedBy(moving), workAt(moving), now);
-			this.timers.at(now + this.settings.movingMillis(), this::announceMoves);
+			this.timers.at(now + this.settings.moveUpdateMillis(), this::announceMoves);
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
@@ -45,13 +45,13 @@
 	 * Return the distant peers that are due at a heartbeat.
 	 * @param heartbeat the number of the heartbeat
 	 * @return the addresses of a part of the distant peers; each one is due once in
-	 * {@link GossipSettings#distantBeats} heartbeats
+	 * {@link GossipSettings#distantHeartbeats} heartbeats
 	 */
 	List<String> distantAt(int heartbeat) {
 		List<String> distant = distant();
 		List<String> due = new ArrayList<>();
 		for (int i = 0; i < distant.size(); i++) {
-			if ((i + heartbeat) % this.settings.distantBeats() == 0) {
+			if ((i + heartbeat) % this.settings.distantHeartbeats() == 0) {
 				due.add(distant.get(i));
 			}
 		}
@@ -77,13 +77,13 @@
 	// All peers if they are few, and otherwise those concerned and a random sample.
 	Set<String> wide(Set<TargetRun> targets) {
 		Set<String> wide = concernedBy(targets);
-		wide.addAll(sample(this.known.addresses(), this.settings.mostTold()));
+		wide.addAll(sample(this.known.addresses(), this.settings.maxWideReceivers()));
 		return wide;
 	}
 
 	// The addresses to include in an update so that its receivers discover them.
 	List<String> peersToAdvertise() {
-		return sample(this.known.addresses(), this.settings.introductions());
+		return sample(this.known.addresses(), this.settings.maxAdvertisedPeers());
 	}
 
 	/**
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -275,8 +275,8 @@
 		this.receivers.clear();
 		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.SAMPLE, 200);
 		this.timers.run(200);
-		assertThat(this.receivers.size()).isAtMost(SETTINGS.mostTold() + 1);
-		assertThat(this.receivers.size()).isAtLeast(SETTINGS.mostTold());
+		assertThat(this.receivers.size()).isAtMost(SETTINGS.maxWideReceivers() + 1);
+		assertThat(this.receivers.size()).isAtLeast(SETTINGS.maxWideReceivers());
 		assertThat(this.receivers).contains("10.0.0.77:7200");
 	}
 
