--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetNeeds.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/BackpressureSignals.java
@@ -9,19 +9,19 @@
  *
  * @param limitPerSecond the requests per second that the target accepts from all entries
  * together; empty if the response has no limit, not a number if it cannot be parsed
- * @param restMillis the backoff that the target asks of this entry, in milliseconds;
+ * @param backoffMillis the backoff that the target asks of this entry, in milliseconds;
  * empty if the response has none, negative if it cannot be parsed
- * @param leaving whether the target reports that it is draining
+ * @param draining whether the target reports that it is draining
  * @since 0.4
  */
-public record TargetNeeds(OptionalDouble limitPerSecond, OptionalLong restMillis, boolean leaving) {
+public record BackpressureSignals(OptionalDouble limitPerSecond, OptionalLong backoffMillis, boolean draining) {
 
 	/** Response without any back-pressure signal. */
-	public static final TargetNeeds NONE = new TargetNeeds(OptionalDouble.empty(), OptionalLong.empty(), false);
+	public static final BackpressureSignals NONE = new BackpressureSignals(OptionalDouble.empty(), OptionalLong.empty(), false);
 
-	public TargetNeeds {
+	public BackpressureSignals {
 		Objects.requireNonNull(limitPerSecond, "limitPerSecond must not be null");
-		Objects.requireNonNull(restMillis, "restMillis must not be null");
+		Objects.requireNonNull(backoffMillis, "backoffMillis must not be null");
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
@@ -55,14 +55,14 @@
 	/**
 	 * Record the signals in a response of a target.
 	 * @param target the listed target
-	 * @param needs the signals
+	 * @param signals the signals
 	 * @param requestSentAt the time at which the request was sent, in milliseconds
 	 * @param now the current time in milliseconds
 	 */
-	public void told(ListedTarget target, TargetNeeds needs, long requestSentAt, long now) {
-		recordLimit(target, needs.limitPerSecond(), requestSentAt, now);
-		recordRequestedBackoff(target, needs.restMillis(), now);
-		if (needs.leaving() && this.leaving.recordOwnReport(target.run(), now)) {
+	public void told(ListedTarget target, BackpressureSignals signals, long requestSentAt, long now) {
+		recordLimit(target, signals.limitPerSecond(), requestSentAt, now);
+		recordRequestedBackoff(target, signals.backoffMillis(), now);
+		if (signals.draining() && this.leaving.recordOwnReport(target.run(), now)) {
 			record(target, "reported that it is leaving: no new requests are sent there");
 			this.announcer.accept(target.run());
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AnswerHead.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AnswerHead.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-import dev.laneworks.core.backpressure.TargetNeeds;
+import dev.laneworks.core.backpressure.BackpressureSignals;
 
 /**
  * Head of an answer, parsed from the protocol of the target.
@@ -22,7 +22,7 @@
  * @since 0.2
  */
 public record AnswerHead(int status, String requestId, boolean sealed, boolean encoded, boolean notRun, boolean events,
-		Optional<TargetLoad> load, OptionalLong coldMillis, TargetNeeds needs) {
+		Optional<TargetLoad> load, OptionalLong coldMillis, BackpressureSignals needs) {
 
 	private static final int FIRST_SUCCESS = 200;
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import dev.laneworks.core.backpressure.TargetNeeds;
+import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.backpressure.TargetsInNeed;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
@@ -173,7 +173,7 @@
 	 * @param sentAt the time in milliseconds at which the answered request was sent
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void told(ListedTarget target, TargetNeeds signals, long sentAt, long now) {
+	void told(ListedTarget target, BackpressureSignals signals, long sentAt, long now) {
 		this.needs.told(target, signals, sentAt, now);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
 
-import dev.laneworks.core.backpressure.TargetNeeds;
+import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.routing.Rendezvous;
 import dev.laneworks.core.serving.RequestKind;
@@ -160,7 +160,7 @@
 		harness.open(1, RequestKind.SAFE, 2);
 		DispatchHarness.Sent first = harness.arrive();
 		harness.dispatcher.headReceived(1, first.attempt(), new AnswerHead(200, "request-1", true, false, false, false,
-				java.util.Optional.empty(), OptionalLong.of(2_000), TargetNeeds.NONE), harness.now);
+				java.util.Optional.empty(), OptionalLong.of(2_000), BackpressureSignals.NONE), harness.now);
 		harness.open(2, RequestKind.SAFE, 2);
 		assertThat(harness.eligibility.takesWork(plain, harness.now)).isFalse();
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 import dev.laneworks.core.audit.AuditEvent;
+import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.backpressure.TargetLimits;
-import dev.laneworks.core.backpressure.TargetNeeds;
 import dev.laneworks.core.backpressure.TargetsInNeed;
 import dev.laneworks.core.directory.DirectoryListener;
 import dev.laneworks.core.directory.EvacuationListener;
@@ -259,12 +259,12 @@
 	}
 
 	void answer(Sent to, int status, boolean notRun) {
-		answer(to, status, notRun, TargetNeeds.NONE);
+		answer(to, status, notRun, BackpressureSignals.NONE);
 	}
 
-	void answer(Sent to, int status, boolean notRun, TargetNeeds told) {
+	void answer(Sent to, int status, boolean notRun, BackpressureSignals signals) {
 		AnswerHead head = new AnswerHead(status, id(to.call()), status < 300, false, notRun, false, Optional.empty(),
-				OptionalLong.empty(), told);
+				OptionalLong.empty(), signals);
 		this.dispatcher.headReceived(to.call(), to.attempt(), head, this.now);
 		this.dispatcher.answered(to.call(), to.attempt(), head, this.now);
 		settle();
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-import dev.laneworks.core.backpressure.TargetNeeds;
+import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetRun;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
@@ -280,10 +280,10 @@
 
 		private void answer(Sent sent, int status, boolean isRejected) {
 			boolean isOpen = !this.harness.abandoned.contains(sent.call() + "/" + sent.attempt());
-			TargetNeeds needs = this.needs.filter((n) -> isOpen)
+			BackpressureSignals signals = this.needs.filter((n) -> isOpen)
 				.map((n) -> n.say(sent.target().run(), isRejected, this.harness.now))
-				.orElse(TargetNeeds.NONE);
-			this.harness.answer(sent, status, isRejected, needs);
+				.orElse(BackpressureSignals.NONE);
+			this.harness.answer(sent, status, isRejected, signals);
 		}
 
 		private void stream(Sent sent, int index, int choice) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherTests.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-import dev.laneworks.core.backpressure.TargetNeeds;
+import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
 import dev.laneworks.core.serving.RequestKind;
@@ -166,7 +166,7 @@
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		Sent sent = this.harness.arrive();
 		AnswerHead other = new AnswerHead(200, "request-77", true, false, false, false, Optional.empty(),
-				OptionalLong.empty(), TargetNeeds.NONE);
+				OptionalLong.empty(), BackpressureSignals.NONE);
 		this.harness.dispatcher.answered(sent.call(), sent.attempt(), other, 10);
 		assertThat(this.harness.answers(1)).containsExactly("refused 502");
 	}
@@ -174,11 +174,11 @@
 	@Test
 	void successWithoutDigestOrWithEncodingIsInvalid() {
 		AnswerHead unsealed = new AnswerHead(200, "r", false, false, false, false, Optional.empty(),
-				OptionalLong.empty(), TargetNeeds.NONE);
+				OptionalLong.empty(), BackpressureSignals.NONE);
 		AnswerHead encoded = new AnswerHead(200, "r", true, true, false, false, Optional.empty(), OptionalLong.empty(),
-				TargetNeeds.NONE);
+				BackpressureSignals.NONE);
 		AnswerHead valid = new AnswerHead(200, "r", true, false, false, false, Optional.empty(), OptionalLong.empty(),
-				TargetNeeds.NONE);
+				BackpressureSignals.NONE);
 		assertThat(unsealed.answers("r")).isFalse();
 		assertThat(encoded.answers("r")).isFalse();
 		assertThat(valid.answers("r")).isTrue();
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-import dev.laneworks.core.backpressure.TargetNeeds;
+import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.directory.TargetRun;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
 
@@ -55,7 +55,7 @@
 	 * @param now the current time in milliseconds of virtual time
 	 * @return the signals; the rate limit and draining persist from earlier responses
 	 */
-	TargetNeeds say(TargetRun target, boolean isRejected, long now) {
+	BackpressureSignals say(TargetRun target, boolean isRejected, long now) {
 		if (this.random.nextInt(4) == 0) {
 			this.limits.putIfAbsent(target, LIMITS[this.random.nextInt(LIMITS.length)]);
 		}
@@ -72,7 +72,7 @@
 		}
 		OptionalDouble limit = this.limits.containsKey(target) ? OptionalDouble.of(this.limits.get(target))
 				: OptionalDouble.empty();
-		return new TargetNeeds(limit, backoff, this.draining.contains(target));
+		return new BackpressureSignals(limit, backoff, this.draining.contains(target));
 	}
 
 	/**
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
@@ -6,7 +6,7 @@
 import java.util.OptionalDouble;
 import java.util.OptionalLong;
 
-import dev.laneworks.core.backpressure.TargetNeeds;
+import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
 import dev.laneworks.core.gossip.BackpressureUpdate;
@@ -22,7 +22,7 @@
  */
 class TargetBackpressureTests {
 
-	private static final TargetNeeds DRAINING_SIGNAL = new TargetNeeds(OptionalDouble.empty(), OptionalLong.empty(),
+	private static final BackpressureSignals DRAINING_SIGNAL = new BackpressureSignals(OptionalDouble.empty(), OptionalLong.empty(),
 			true);
 
 	private final DispatchHarness harness = DispatchHarness.create();
@@ -38,7 +38,7 @@
 		assertThat(this.harness.refusals.get(this.calls).retryAfter()).hasValue(Duration.ofMillis(527));
 		this.harness.join(DispatchHarness.PLAIN, "other");
 		for (int i = 0; i < 10; i++) {
-			assertThat(sendAndRespond(TargetNeeds.NONE, false).target().id()).isEqualTo("other");
+			assertThat(sendAndRespond(BackpressureSignals.NONE, false).target().id()).isEqualTo("other");
 		}
 		this.harness.passTime(527);
 		assertThat(this.harness.eligibility.takesWork(limited, this.harness.now)).isTrue();
@@ -256,8 +256,8 @@
 		return this.harness.directory.all().stream().filter((t) -> t.address().equals(address)).findFirst().get();
 	}
 
-	private static TargetNeeds backoff(long millis) {
-		return new TargetNeeds(OptionalDouble.empty(), OptionalLong.of(millis), false);
+	private static BackpressureSignals backoff(long millis) {
+		return new BackpressureSignals(OptionalDouble.empty(), OptionalLong.of(millis), false);
 	}
 
 	private void assertRefusedAtOnce() {
@@ -271,19 +271,19 @@
 				false, false, Optional.empty(), OptionalLong.empty(), rateLimit(1)), this.harness.now);
 	}
 
-	private static TargetNeeds rateLimit(double perSecond) {
-		return new TargetNeeds(OptionalDouble.of(perSecond), OptionalLong.empty(), false);
+	private static BackpressureSignals rateLimit(double perSecond) {
+		return new BackpressureSignals(OptionalDouble.of(perSecond), OptionalLong.empty(), false);
 	}
 
 	// Sends one request, whose response carries the signals.
-	private void respondWith(TargetNeeds needs) {
-		sendAndRespond(needs, false);
+	private void respondWith(BackpressureSignals signals) {
+		sendAndRespond(signals, false);
 	}
 
-	private Sent sendAndRespond(TargetNeeds needs, boolean isRejected) {
+	private Sent sendAndRespond(BackpressureSignals signals, boolean isRejected) {
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
 		Sent sent = this.harness.arrive();
-		this.harness.answer(sent, isRejected ? 503 : 200, isRejected, needs);
+		this.harness.answer(sent, isRejected ? 503 : 200, isRejected, signals);
 		return sent;
 	}
 
