--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetsInNeed.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
@@ -24,7 +24,7 @@
  *
  * @since 0.4
  */
-public final class TargetsInNeed {
+public final class TargetBackpressure {
 
 	private final TargetLimits limits;
 
@@ -34,7 +34,7 @@
 
 	private final TargetBackoffs backoffs = new TargetBackoffs();
 
-	private final DrainingTargets leaving = new DrainingTargets();
+	private final DrainingTargets draining = new DrainingTargets();
 
 	/** Incarnations of targets that sent an invalid signal. */
 	private final Set<TargetRun> invalid = new HashSet<>();
@@ -46,7 +46,7 @@
 	 * at once
 	 * @param audit receives an event for each change
 	 */
-	public TargetsInNeed(TargetLimits limits, Consumer<TargetRun> announcer, AuditSink audit) {
+	public TargetBackpressure(TargetLimits limits, Consumer<TargetRun> announcer, AuditSink audit) {
 		this.announcer = Objects.requireNonNull(announcer, "toTell must not be null");
 		this.limits = Objects.requireNonNull(limits, "limits must not be null");
 		this.audit = Objects.requireNonNull(audit, "audit must not be null");
@@ -59,10 +59,10 @@
 	 * @param requestSentAt the time at which the request was sent, in milliseconds
 	 * @param now the current time in milliseconds
 	 */
-	public void told(ListedTarget target, BackpressureSignals signals, long requestSentAt, long now) {
+	public void recordResponse(ListedTarget target, BackpressureSignals signals, long requestSentAt, long now) {
 		recordLimit(target, signals.limitPerSecond(), requestSentAt, now);
 		recordRequestedBackoff(target, signals.backoffMillis(), now);
-		if (signals.draining() && this.leaving.recordOwnReport(target.run(), now)) {
+		if (signals.draining() && this.draining.recordOwnReport(target.run(), now)) {
 			record(target, "reported that it is leaving: no new requests are sent there");
 			this.announcer.accept(target.run());
 		}
@@ -75,7 +75,7 @@
 	 * still name one that is not
 	 * @param now the current time in milliseconds
 	 */
-	public void heard(BackpressureUpdate signals, Predicate<TargetRun> isListed, long now) {
+	public void recordGossiped(BackpressureUpdate signals, Predicate<TargetRun> isListed, long now) {
 		signals.limits()
 			.stream()
 			.filter((l) -> isListed.test(l.target()))
@@ -88,8 +88,8 @@
 	 * @param now the current time in milliseconds
 	 * @return the latest signals, including limits received from other entries
 	 */
-	public BackpressureUpdate news(long now) {
-		return new BackpressureUpdate(this.limits.news(now), this.leaving.toAnnounce(now));
+	public BackpressureUpdate signals(long now) {
+		return new BackpressureUpdate(this.limits.news(now), this.draining.toAnnounce(now));
 	}
 
 	/**
@@ -97,16 +97,16 @@
 	 * @param target the listed target
 	 * @return {@code true} if it accepts no new requests
 	 */
-	public boolean isLeaving(ListedTarget target) {
-		return this.leaving.contains(target.run());
+	public boolean isDraining(ListedTarget target) {
+		return this.draining.contains(target.run());
 	}
 
 	/**
 	 * Determine whether no target is recorded as draining.
-	 * @return {@code true} if {@link #isLeaving} holds for no target
+	 * @return {@code true} if {@link #isDraining} holds for no target
 	 */
-	public boolean isNoneLeaving() {
-		return this.leaving.isEmpty();
+	public boolean isNoneDraining() {
+		return this.draining.isEmpty();
 	}
 
 	/**
@@ -115,8 +115,8 @@
 	 * @param now the current time in milliseconds
 	 * @return milliseconds; 0 if it may do so now
 	 */
-	public long freeInMillis(ListedTarget target, long now) {
-		return isQuiet() ? 0
+	public long waitMillis(ListedTarget target, long now) {
+		return isUnrestricted() ? 0
 				: Math.max(this.limits.freeInMillis(target, now), this.backoffs.remainingMillis(target.run(), now));
 	}
 
@@ -125,7 +125,7 @@
 	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 */
-	public void sent(ListedTarget target, long now) {
+	public void recordSent(ListedTarget target, long now) {
 		this.limits.sent(target, now);
 		this.backoffs.sent(target.run(), now);
 	}
@@ -135,7 +135,7 @@
 	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 */
-	public void gone(ListedTarget target, long now) {
+	public void recordUnlisted(ListedTarget target, long now) {
 		this.limits.recordUnlisted(target.run(), now);
 		this.invalid.remove(target.run());
 	}
@@ -144,7 +144,7 @@
 	 * Determine whether no target has a rate limit or a backoff period on record.
 	 * @return {@code true} if requests are not restricted
 	 */
-	public boolean isQuiet() {
+	public boolean isUnrestricted() {
 		return this.limits.isEmpty() && this.backoffs.isEmpty();
 	}
 
@@ -154,7 +154,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if this entry must not send new requests to it
 	 */
-	public boolean isResting(ListedTarget target, long now) {
+	public boolean isBackingOff(ListedTarget target, long now) {
 		return this.backoffs.remainingMillis(target.run(), now) > 0;
 	}
 
@@ -166,7 +166,7 @@
 	 * @return {@code false} if the limit of returns within the current backoff period is
 	 * reached
 	 */
-	public boolean takesReturn(ListedTarget target, long now) {
+	public boolean allowsReturn(ListedTarget target, long now) {
 		return this.backoffs.takesReturn(target.run(), now);
 	}
 
@@ -175,7 +175,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the count
 	 */
-	public int resting(long now) {
+	public int backoffCount(long now) {
 		return this.backoffs.count(now);
 	}
 
@@ -183,12 +183,12 @@
 	 * Return the number of targets with a rate limit.
 	 * @return the count
 	 */
-	public int limited() {
+	public int limitCount() {
 		return this.limits.count();
 	}
 
 	private void recordGossipedDraining(TargetRun target, long now) {
-		if (this.leaving.recordDraining(target, now)) {
+		if (this.draining.recordDraining(target, now)) {
 			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target.id(), target.id(),
 					"reported to another entry that it is leaving: no new requests are sent there"));
 		}
@@ -215,7 +215,7 @@
 			recordInvalid(target, "asked for an invalid backoff");
 			return;
 		}
-		if (!isResting(target, now)) {
+		if (!isBackingOff(target, now)) {
 			record(target, "asked for a backoff of " + millis.getAsLong() + " ms");
 		}
 		this.backoffs.recordBackoff(target.run(), millis.getAsLong(), now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 import dev.laneworks.core.backpressure.BackpressureSignals;
-import dev.laneworks.core.backpressure.TargetsInNeed;
+import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
 
@@ -34,7 +34,7 @@
 
 	private final ColdTargets cold;
 
-	private final TargetsInNeed needs;
+	private final TargetBackpressure backpressure;
 
 	private final Map<String, String> regions;
 
@@ -43,15 +43,15 @@
 	 * @param directory the listed targets
 	 * @param beliefs the recorded state of each target
 	 * @param cold the rate limits of cold targets
-	 * @param needs the back-pressure signals of targets
+	 * @param backpressure the back-pressure signals of targets
 	 * @param regions the region of each data centre
 	 */
-	public Eligibility(TargetDirectory directory, TargetBeliefs beliefs, ColdTargets cold, TargetsInNeed needs,
+	public Eligibility(TargetDirectory directory, TargetBeliefs beliefs, ColdTargets cold, TargetBackpressure backpressure,
 			Map<String, String> regions) {
 		this.directory = directory;
 		this.beliefs = beliefs;
 		this.cold = cold;
-		this.needs = needs;
+		this.backpressure = backpressure;
 		this.regions = Map.copyOf(regions);
 	}
 
@@ -75,7 +75,7 @@
 	 */
 	public List<ListedTarget> serving(String service) {
 		List<ListedTarget> serving = this.directory.serving(service);
-		return this.needs.isNoneLeaving() ? serving : serving.stream().filter((t) -> !this.needs.isLeaving(t)).toList();
+		return this.backpressure.isNoneDraining() ? serving : serving.stream().filter((t) -> !this.backpressure.isDraining(t)).toList();
 	}
 
 	/**
@@ -96,7 +96,7 @@
 	 * @return {@code true} if work that is not there yet may be sent
 	 */
 	boolean acceptsNew(ListedTarget target) {
-		return this.directory.takesWork(target) && !this.needs.isLeaving(target);
+		return this.directory.takesWork(target) && !this.backpressure.isDraining(target);
 	}
 
 	/**
@@ -110,7 +110,7 @@
 		if (!acceptsNew(target)) {
 			return Optional.of("the target is leaving or evacuated");
 		}
-		return this.needs.isResting(target, now) ? Optional.of("the target requested a backoff period")
+		return this.backpressure.isBackingOff(target, now) ? Optional.of("the target requested a backoff period")
 				: Optional.empty();
 	}
 
@@ -123,7 +123,7 @@
 	 * and has accepted enough returning generations
 	 */
 	boolean takesReturn(ListedTarget target, long now) {
-		return !isEvacuated(target) && this.needs.takesReturn(target, now);
+		return !isEvacuated(target) && this.backpressure.allowsReturn(target, now);
 	}
 
 	/**
@@ -132,7 +132,7 @@
 	 * @return {@code true} if it announced so to this entry or to another one
 	 */
 	boolean isDraining(ListedTarget target) {
-		return this.needs.isLeaving(target);
+		return this.backpressure.isDraining(target);
 	}
 
 	/**
@@ -174,7 +174,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void told(ListedTarget target, BackpressureSignals signals, long sentAt, long now) {
-		this.needs.told(target, signals, sentAt, now);
+		this.backpressure.recordResponse(target, signals, sentAt, now);
 	}
 
 	/**
@@ -184,7 +184,7 @@
 	 */
 	void sent(ListedTarget target, long now) {
 		this.cold.sent(target, now);
-		this.needs.sent(target, now);
+		this.backpressure.recordSent(target, now);
 	}
 
 	/**
@@ -195,7 +195,7 @@
 	 * @return the number of excluded targets
 	 */
 	long countExcluded(Scope scope, long now) {
-		if (this.needs.isQuiet() && this.cold.isQuiet()) {
+		if (this.backpressure.isUnrestricted() && this.cold.isQuiet()) {
 			return 0;
 		}
 		return serving(scope.service()).stream().filter((t) -> isAllowed(scope, t) && freeInMillis(t, now) > 0).count();
@@ -210,7 +210,7 @@
 	Shortage shortage(Scope scope, long now) {
 		List<ListedTarget> staying = this.directory.staying(scope.service())
 			.stream()
-			.filter((t) -> !this.needs.isLeaving(t))
+			.filter((t) -> !this.backpressure.isDraining(t))
 			.toList();
 		if (staying.isEmpty()) {
 			return Shortage.of("no target of the service accepts requests");
@@ -240,7 +240,7 @@
 	}
 
 	private long freeInMillis(ListedTarget target, long now) {
-		return Math.max(this.cold.freeInMillis(target, now), this.needs.freeInMillis(target, now));
+		return Math.max(this.cold.freeInMillis(target, now), this.backpressure.waitMillis(target, now));
 	}
 
 	private boolean isAllowed(Scope scope, ListedTarget target) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -12,8 +12,8 @@
 
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.backpressure.BackpressureSignals;
+import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.backpressure.TargetLimits;
-import dev.laneworks.core.backpressure.TargetsInNeed;
 import dev.laneworks.core.directory.DirectoryListener;
 import dev.laneworks.core.directory.EvacuationListener;
 import dev.laneworks.core.directory.Evacuations;
@@ -99,9 +99,9 @@
 	 */
 	final List<TargetRun> needsToTell = new ArrayList<>();
 
-	final TargetsInNeed needs = new TargetsInNeed(this.limits, this.needsToTell::add, (e) -> this.audit.add(e));
+	final TargetBackpressure backpressure = new TargetBackpressure(this.limits, this.needsToTell::add, (e) -> this.audit.add(e));
 
-	final Eligibility eligibility = new Eligibility(this.directory, this.beliefs, this.cold, this.needs,
+	final Eligibility eligibility = new Eligibility(this.directory, this.beliefs, this.cold, this.backpressure,
 			Map.of("dc", "north", "dc2", "north", "dc3", "south"));
 
 	/** The allowed regions of requests that are opened from now on. */
@@ -461,7 +461,7 @@
 			DispatchHarness.this.dispatcher.gone(target, DispatchHarness.this.now);
 			DispatchHarness.this.beliefs.forget(target);
 			DispatchHarness.this.cold.forget(target);
-			DispatchHarness.this.needs.gone(target, DispatchHarness.this.now);
+			DispatchHarness.this.backpressure.recordUnlisted(target, DispatchHarness.this.now);
 		}
 
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
@@ -61,7 +61,7 @@
 	void generationDoesNotResumeAtEngineAtItsRateLimit() {
 		Sent run = streamWithLiveCopy();
 		ListedTarget backup = liveCopyOf(run);
-		this.harness.needs.told(backup, rateLimit(0.2), 0, 0);
+		this.harness.backpressure.recordResponse(backup, rateLimit(0.2), 0, 0);
 		this.harness.leave(run.target());
 		assertThat(this.harness.sent.stream().filter((s) -> s.target().equals(backup))).isEmpty();
 	}
@@ -77,10 +77,10 @@
 		Sent sent = this.harness.sent.get(this.harness.sent.size() - 1);
 		receiveHead(sent, 421, "");
 		receiveHead(sent, 200, "request-999");
-		assertThat(this.harness.needs.limited()).isEqualTo(0);
+		assertThat(this.harness.backpressure.limitCount()).isEqualTo(0);
 		this.harness.end(target);
 		receiveHead(sent, 200, DispatchHarness.id(sent.call()));
-		assertThat(this.harness.needs.limited()).isEqualTo(0);
+		assertThat(this.harness.backpressure.limitCount()).isEqualTo(0);
 	}
 
 	@Test
@@ -88,9 +88,9 @@
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		respondWith(rateLimit(1));
 		for (double invalid : new double[] { -1, Double.NaN, 1e9 }) {
-			this.harness.needs.told(target, rateLimit(invalid), this.harness.now, this.harness.now);
+			this.harness.backpressure.recordResponse(target, rateLimit(invalid), this.harness.now, this.harness.now);
 		}
-		assertThat(this.harness.needs.limited()).isEqualTo(1);
+		assertThat(this.harness.backpressure.limitCount()).isEqualTo(1);
 		assertThat(this.harness.audit.stream().filter((e) -> e.cause().contains("passed over"))).hasSize(1);
 	}
 
@@ -100,7 +100,7 @@
 		respondWith(rateLimit(0));
 		ListedTarget again = this.harness.startAgain(target);
 		assertThat(this.harness.eligibility.takesWork(again, this.harness.now)).isTrue();
-		assertThat(this.harness.needs.limited()).isEqualTo(0);
+		assertThat(this.harness.backpressure.limitCount()).isEqualTo(0);
 	}
 
 	@Test
@@ -123,7 +123,7 @@
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
 		Sent chosen = this.harness.sent.get(0);
 		this.harness.join(DispatchHarness.PLAIN, "other");
-		this.harness.needs.told(target, DRAINING_SIGNAL, 0, 0);
+		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 0, 0);
 		assertThat(this.harness.assertReady(chosen)).isFalse();
 		assertThat(this.harness.arrive().target().id()).isEqualTo("other");
 	}
@@ -132,10 +132,10 @@
 	void generationStaysAtDrainingEngineUntilListedAndResumesAtNoDrainingOne() {
 		Sent run = streamWithLiveCopy();
 		ListedTarget backup = liveCopyOf(run);
-		this.harness.needs.told(run.target(), DRAINING_SIGNAL, 0, 0);
+		this.harness.backpressure.recordResponse(run.target(), DRAINING_SIGNAL, 0, 0);
 		this.harness.passTime(1_000);
 		assertThat(this.harness.sent).hasSize(1);
-		this.harness.needs.told(backup, DRAINING_SIGNAL, 0, 0);
+		this.harness.backpressure.recordResponse(backup, DRAINING_SIGNAL, 0, 0);
 		this.harness.leave(run.target());
 		assertThat(this.harness.sent).hasSize(1);
 	}
@@ -144,23 +144,23 @@
 	void signalsOfOtherEntriesAreAppliedButNotForwarded() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		BackpressureUpdate signals = new BackpressureUpdate(List.of(), List.of(target.run()));
-		this.harness.needs.heard(signals, (t) -> true, 0);
+		this.harness.backpressure.recordGossiped(signals, (t) -> true, 0);
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
 		assertThat(this.harness.answers(this.calls)).containsExactly("refused 503");
-		assertThat(this.harness.needs.news(1)).isEqualTo(BackpressureUpdate.NONE);
+		assertThat(this.harness.backpressure.signals(1)).isEqualTo(BackpressureUpdate.NONE);
 	}
 
 	@Test
 	void newSignalsAreAnnouncedImmediately() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
-		this.harness.needs.told(target, rateLimit(3), 0, 0);
-		this.harness.needs.told(target, rateLimit(3), 1, 1);
-		this.harness.needs.told(target, rateLimit(4), 2, 2);
-		this.harness.needs.told(target, DRAINING_SIGNAL, 3, 3);
-		this.harness.needs.told(target, DRAINING_SIGNAL, 4, 4);
+		this.harness.backpressure.recordResponse(target, rateLimit(3), 0, 0);
+		this.harness.backpressure.recordResponse(target, rateLimit(3), 1, 1);
+		this.harness.backpressure.recordResponse(target, rateLimit(4), 2, 2);
+		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 3, 3);
+		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 4, 4);
 		assertThat(this.harness.needsToTell).hasSize(4);
-		assertThat(this.harness.needs.news(60_004).draining()).containsExactly(target.run());
-		assertThat(this.harness.needs.news(60_005).draining()).isEmpty();
+		assertThat(this.harness.backpressure.signals(60_004).draining()).containsExactly(target.run());
+		assertThat(this.harness.backpressure.signals(60_005).draining()).isEmpty();
 	}
 
 	@Test
@@ -168,7 +168,7 @@
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
 		Sent sent = this.harness.arrive();
-		this.harness.needs.told(target, DRAINING_SIGNAL, 0, 0);
+		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 0, 0);
 		this.harness.breakOff(sent);
 		this.harness.dispatcher.checked(target, true, this.harness.now);
 		assertThat(this.harness.suspected).isEmpty();
@@ -203,11 +203,11 @@
 	@Test
 	void shorterBackoffDoesNotShortenAnEarlierOne() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
-		this.harness.needs.told(target, backoff(3_000), 0, 0);
-		this.harness.needs.told(target, backoff(100), 0, 500);
-		assertThat(this.harness.needs.freeInMillis(target, 600)).isEqualTo(2_400);
-		assertThat(this.harness.needs.resting(2_999)).isEqualTo(1);
-		assertThat(this.harness.needs.resting(3_000)).isEqualTo(0);
+		this.harness.backpressure.recordResponse(target, backoff(3_000), 0, 0);
+		this.harness.backpressure.recordResponse(target, backoff(100), 0, 500);
+		assertThat(this.harness.backpressure.waitMillis(target, 600)).isEqualTo(2_400);
+		assertThat(this.harness.backpressure.backoffCount(2_999)).isEqualTo(1);
+		assertThat(this.harness.backpressure.backoffCount(3_000)).isEqualTo(0);
 	}
 
 	@Test
@@ -216,7 +216,7 @@
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
 		Sent chosen = this.harness.sent.get(0);
 		this.harness.join(DispatchHarness.PLAIN, "other");
-		this.harness.needs.told(target, backoff(3_000), 0, 0);
+		this.harness.backpressure.recordResponse(target, backoff(3_000), 0, 0);
 		assertThat(this.harness.assertReady(chosen)).isFalse();
 		assertThat(this.harness.arrive().target().id()).isEqualTo("other");
 	}
@@ -224,7 +224,7 @@
 	@Test
 	void onlyOneGenerationReturnsToTargetWithinBackoff() {
 		ListedTarget target = this.harness.join(DispatchHarness.ENGINES, "target");
-		this.harness.needs.told(target, backoff(3_000), 0, 0);
+		this.harness.backpressure.recordResponse(target, backoff(3_000), 0, 0);
 		assertThat(this.harness.eligibility.takesReturn(target, 0)).isTrue();
 		this.harness.eligibility.sent(target, 0);
 		assertThat(this.harness.eligibility.takesReturn(target, 10)).isFalse();
@@ -235,9 +235,9 @@
 	void invalidBackoffIsIgnored() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		for (long invalid : new long[] { -1, 3_600_001, Long.MAX_VALUE }) {
-			this.harness.needs.told(target, backoff(invalid), 0, 0);
+			this.harness.backpressure.recordResponse(target, backoff(invalid), 0, 0);
 		}
-		assertThat(this.harness.needs.freeInMillis(target, 0)).isEqualTo(0);
+		assertThat(this.harness.backpressure.waitMillis(target, 0)).isEqualTo(0);
 		assertThat(this.harness.audit.stream().filter((e) -> e.cause().contains("passed over"))).hasSize(1);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -16,8 +16,8 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.backpressure.RequestShare;
+import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.backpressure.TargetLimits;
-import dev.laneworks.core.backpressure.TargetsInNeed;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.directory.TargetRun;
 import dev.laneworks.core.dispatch.ColdTargets;
@@ -117,7 +117,7 @@
 
 	private final ColdTargets cold;
 
-	private final TargetsInNeed needs;
+	private final TargetBackpressure backpressure;
 
 	private final SuspectTracking suspects;
 
@@ -193,14 +193,14 @@
 		TargetLimits limits = new TargetLimits(
 				new RequestShare(() -> this.recentEntryCount, this::ownRequests, this::peerRequests),
 				this.peers::phase);
-		this.needs = new TargetsInNeed(limits, this.peers::announceNeeds, this.audit);
-		MembershipEvents members = new MembershipEvents(this.beliefs, this.cold, this.needs, this.loop, this.audit);
+		this.backpressure = new TargetBackpressure(limits, this.peers::announceNeeds, this.audit);
+		MembershipEvents members = new MembershipEvents(this.beliefs, this.cold, this.backpressure, this.loop, this.audit);
 		this.store = new StoreView(adapter.source(), settings.follow(), members, members, this::use,
 				this.peers.reading(), timers, random, new DefaultBackgroundWork(thread), this.audit);
 		this.directory = this.store.directory();
-		Eligibility eligibility = new Eligibility(this.directory, this.beliefs, this.cold, this.needs,
+		Eligibility eligibility = new Eligibility(this.directory, this.beliefs, this.cold, this.backpressure,
 				settings.regions());
-		this.peers.shareNeeds(this.needs, this.directory::isKnownRun);
+		this.peers.shareNeeds(this.backpressure, this.directory::isKnownRun);
 		TargetChooser chooser = new TargetChooser(eligibility, this.beliefs, settings.dataCentre(), random,
 				settings.mechanisms());
 		this.dispatcher = new Dispatcher(DispatchSettings.defaults(settings.mechanisms()), this.directory, this.beliefs,
@@ -372,8 +372,8 @@
 	}
 
 	private EntryGauges collectGauges(long now) {
-		return new EntryGauges(this.beliefs.doubted(now), this.cold.count(now), this.needs.limited(),
-				this.needs.resting(now), this.suspects.requests().quarantined(now), this.store.evacuations().count(),
+		return new EntryGauges(this.beliefs.doubted(now), this.cold.count(now), this.backpressure.limitCount(),
+				this.backpressure.backoffCount(now), this.suspects.requests().quarantined(now), this.store.evacuations().count(),
 				this.store.follower().behindMillis(now));
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
@@ -3,7 +3,7 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.backpressure.TargetsInNeed;
+import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.directory.DirectoryListener;
 import dev.laneworks.core.directory.EvacuationListener;
 import dev.laneworks.core.directory.LeavingCause;
@@ -22,7 +22,7 @@
 
 	private final ColdTargets cold;
 
-	private final TargetsInNeed needs;
+	private final TargetBackpressure backpressure;
 
 	private final EventLoop loop;
 
@@ -32,10 +32,10 @@
 
 	private StoreView store;
 
-	MembershipEvents(TargetBeliefs beliefs, ColdTargets cold, TargetsInNeed needs, EventLoop loop, AuditSink audit) {
+	MembershipEvents(TargetBeliefs beliefs, ColdTargets cold, TargetBackpressure backpressure, EventLoop loop, AuditSink audit) {
 		this.beliefs = beliefs;
 		this.cold = cold;
-		this.needs = needs;
+		this.backpressure = backpressure;
 		this.loop = loop;
 		this.audit = audit;
 	}
@@ -84,7 +84,7 @@
 		this.dispatcher.gone(target, this.loop.now());
 		this.beliefs.forget(target);
 		this.cold.forget(target);
-		this.needs.gone(target, this.loop.now());
+		this.backpressure.recordUnlisted(target, this.loop.now());
 	}
 
 	private long targetsIn(String dataCentre) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.backpressure.TargetsInNeed;
+import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetRun;
 import dev.laneworks.core.dispatch.CopyTurn;
@@ -74,7 +74,7 @@
 
 	private Predicate<TargetRun> listed = (t) -> false;
 
-	private Optional<TargetsInNeed> needs = Optional.empty();
+	private Optional<TargetBackpressure> backpressure = Optional.empty();
 
 	private Optional<SnapshotTransfer> snapshots = Optional.empty();
 
@@ -182,8 +182,8 @@
 
 	// Set the source of shared back-pressure signals and the filter of listed
 	// incarnations.
-	void shareNeeds(TargetsInNeed shared, Predicate<TargetRun> isListed) {
-		this.needs = Optional.of(shared);
+	void shareNeeds(TargetBackpressure shared, Predicate<TargetRun> isListed) {
+		this.backpressure = Optional.of(shared);
 		this.listed = isListed;
 	}
 
@@ -248,12 +248,12 @@
 
 	@Override
 	public void signalsReceived(BackpressureUpdate signals) {
-		this.needs.ifPresent((n) -> n.heard(signals, this.listed, this.loop.now()));
+		this.backpressure.ifPresent((n) -> n.recordGossiped(signals, this.listed, this.loop.now()));
 	}
 
 	@Override
 	public BackpressureUpdate signals() {
-		return this.needs.map((n) -> n.news(this.loop.now())).orElse(BackpressureUpdate.NONE);
+		return this.backpressure.map((n) -> n.signals(this.loop.now())).orElse(BackpressureUpdate.NONE);
 	}
 
 	@Override
