--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
@@ -26,7 +26,7 @@
  */
 public final class TargetBackpressure {
 
-	private final TargetLimits limits;
+	private final TargetRateLimits limits;
 
 	private final Consumer<TargetRun> announcer;
 
@@ -46,7 +46,7 @@
 	 * at once
 	 * @param audit receives an event for each change
 	 */
-	public TargetBackpressure(TargetLimits limits, Consumer<TargetRun> announcer, AuditSink audit) {
+	public TargetBackpressure(TargetRateLimits limits, Consumer<TargetRun> announcer, AuditSink audit) {
 		this.announcer = Objects.requireNonNull(announcer, "toTell must not be null");
 		this.limits = Objects.requireNonNull(limits, "limits must not be null");
 		this.audit = Objects.requireNonNull(audit, "audit must not be null");
@@ -89,7 +89,7 @@
 	 * @return the latest signals, including limits received from other entries
 	 */
 	public BackpressureUpdate signals(long now) {
-		return new BackpressureUpdate(this.limits.news(now), this.draining.toAnnounce(now));
+		return new BackpressureUpdate(this.limits.updates(now), this.draining.toAnnounce(now));
 	}
 
 	/**
@@ -195,7 +195,7 @@
 	}
 
 	private void recordLimit(ListedTarget target, OptionalDouble perSecond, long requestSentAt, long now) {
-		if (perSecond.isPresent() && !TargetLimits.isValid(perSecond.getAsDouble())) {
+		if (perSecond.isPresent() && !TargetRateLimits.isValid(perSecond.getAsDouble())) {
 			recordInvalid(target, "reported an invalid rate limit");
 		}
 		else if (this.limits.recordReported(target, perSecond, requestSentAt, now)) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
@@ -24,7 +24,7 @@
  *
  * @since 0.4
  */
-public final class TargetLimits {
+public final class TargetRateLimits {
 
 	/**
 	 * The fraction of a limit that entries use together; allows for shares that are up to
@@ -85,7 +85,7 @@
 	 * @param phase computes a number from 0 to 1 for the id of a target that differs
 	 * between entries
 	 */
-	public TargetLimits(DemandShare share, ToDoubleFunction<String> phase) {
+	public TargetRateLimits(DemandShare share, ToDoubleFunction<String> phase) {
 		this.share = Objects.requireNonNull(share, "share must not be null");
 		this.phase = Objects.requireNonNull(phase, "phase must not be null");
 	}
@@ -149,7 +149,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the current and the recently lifted limits, the most recent first
 	 */
-	List<RateLimitUpdate> news(long now) {
+	List<RateLimitUpdate> updates(long now) {
 		this.byIncarnation.values().removeIf((l) -> l.isExpired(now));
 		return this.byIncarnation.entrySet()
 			.stream()
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -187,7 +187,7 @@
 
 		private double perSecond;
 
-		private TargetLimits limits;
+		private TargetRateLimits limits;
 
 		private final Deque<Long> requests = new ArrayDeque<>();
 
@@ -209,7 +209,7 @@
 				case EQUAL -> (s, t) -> 1.0 / runningEntries();
 				case REQUESTS, REQUESTS_RANDOM -> byRequests;
 			};
-			this.limits = new TargetLimits(share, (t) -> this.phase);
+			this.limits = new TargetRateLimits(share, (t) -> this.phase);
 		}
 
 		void restart() {
@@ -230,7 +230,7 @@
 			removeOld(at);
 			if (this.isRunning && !isLost()) {
 				this.reportedRequests = this.requests.size();
-				broadcast(this.limits.news(at));
+				broadcast(this.limits.updates(at));
 			}
 			LimitedFleet.this.timers.at(at + HEARTBEAT_MILLIS, this::heartbeat);
 		}
@@ -266,15 +266,15 @@
 			}
 			this.limits.sent(LimitedFleet.this.target, at);
 			LimitedFleet.this.arrivals.add(at);
-			TargetLimits limitsAtSend = this.limits;
+			TargetRateLimits limitsAtSend = this.limits;
 			LimitedFleet.this.timers.at(at + RESPONSE_MILLIS, (t) -> handleResponse(limitsAtSend, at, t));
 		}
 
-		private void handleResponse(TargetLimits limitsAtSend, long sentAt, long at) {
+		private void handleResponse(TargetRateLimits limitsAtSend, long sentAt, long at) {
 			OptionalDouble advertised = (at >= FIRST_LIMIT_MILLIS) ? OptionalDouble.of(LimitedFleet.this.limit)
 					: OptionalDouble.empty();
 			if (limitsAtSend.recordReported(LimitedFleet.this.target, advertised, sentAt, at)) {
-				broadcast(this.limits.news(at));
+				broadcast(this.limits.updates(at));
 			}
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
@@ -11,7 +11,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link TargetLimits} of a single entry.
+ * Tests for {@link TargetRateLimits} of a single entry.
  */
 class TargetLimitsTests {
 
@@ -21,7 +21,7 @@
 
 	private double phase;
 
-	private final TargetLimits limits = new TargetLimits((s, t) -> this.share, (t) -> this.phase);
+	private final TargetRateLimits limits = new TargetRateLimits((s, t) -> this.share, (t) -> this.phase);
 
 	@Test
 	void targetWithoutLimitReceivesAllRequests() {
@@ -55,7 +55,7 @@
 		int all = 0;
 		for (int i = 0; i < 100; i++) {
 			this.phase = i / 100.0;
-			TargetLimits one = new TargetLimits((s, t) -> this.share, (t) -> this.phase);
+			TargetRateLimits one = new TargetRateLimits((s, t) -> this.share, (t) -> this.phase);
 			one.recordReported(this.target, OptionalDouble.of(3), 0, 0);
 			all += sentIn(one, 0, 4_000, 10);
 		}
@@ -87,7 +87,7 @@
 		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 700), 1_600)).isFalse();
 		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 600), 1_640)).isFalse();
 		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 100), 1_600)).isTrue();
-		assertThat(this.limits.news(1_600)).containsExactly(news(OptionalDouble.of(9), 100));
+		assertThat(this.limits.updates(1_600)).containsExactly(news(OptionalDouble.of(9), 100));
 		assertThat(this.limits.recordGossiped(news(OptionalDouble.empty(), 0), 1_700)).isTrue();
 		assertThat(this.limits.freeInMillis(this.target, 1_700)).isEqualTo(0);
 	}
@@ -98,8 +98,8 @@
 		assertThat(this.limits.recordReported(this.target, OptionalDouble.of(3), 10, 10)).isFalse();
 		assertThat(this.limits.recordReported(this.target, OptionalDouble.of(4), 20, 20)).isTrue();
 		assertThat(this.limits.recordReported(this.target, OptionalDouble.empty(), 2_000, 2_000)).isTrue();
-		assertThat(this.limits.news(12_000)).containsExactly(news(OptionalDouble.empty(), 10_000));
-		assertThat(this.limits.news(12_001)).isEmpty();
+		assertThat(this.limits.updates(12_000)).containsExactly(news(OptionalDouble.empty(), 10_000));
+		assertThat(this.limits.updates(12_001)).isEmpty();
 	}
 
 	@Test
@@ -108,7 +108,7 @@
 		for (long now = 1_000; now <= 30_000; now += 100) {
 			report(OptionalDouble.empty(), now, now);
 		}
-		assertThat(this.limits.news(30_000)).isEmpty();
+		assertThat(this.limits.updates(30_000)).isEmpty();
 		assertThat(this.limits.isEmpty()).isTrue();
 	}
 
@@ -123,7 +123,7 @@
 	@Test
 	void invalidLimitFromOthersIsIgnored() {
 		for (double invalid : new double[] { -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9 }) {
-			assertThat(TargetLimits.isValid(invalid)).isFalse();
+			assertThat(TargetRateLimits.isValid(invalid)).isFalse();
 			assertThat(this.limits.recordGossiped(news(OptionalDouble.of(invalid), 0), 100)).isFalse();
 		}
 		assertThat(this.limits.count()).isEqualTo(0);
@@ -141,9 +141,9 @@
 		this.share = 0.001;
 		report(2, 0);
 		this.limits.recordUnlisted(this.target.run(), 1_000);
-		assertThat(this.limits.news(1_000)).isEmpty();
+		assertThat(this.limits.updates(1_000)).isEmpty();
 		assertThat(this.limits.freeInMillis(this.target, 61_000)).isGreaterThan(0L);
-		this.limits.news(61_001);
+		this.limits.updates(61_001);
 		assertThat(this.limits.isEmpty()).isTrue();
 	}
 
@@ -152,8 +152,8 @@
 		for (int i = 0; i < 100; i++) {
 			this.limits.recordGossiped(new RateLimitUpdate(TargetRun.of("t" + i), OptionalDouble.of(1), 100 - i), 100);
 		}
-		assertThat(this.limits.news(100)).hasSize(64);
-		assertThat(this.limits.news(100).get(0).target()).isEqualTo(TargetRun.of("t99"));
+		assertThat(this.limits.updates(100)).hasSize(64);
+		assertThat(this.limits.updates(100).get(0).target()).isEqualTo(TargetRun.of("t99"));
 	}
 
 	private void report(double perSecond, long now) {
@@ -173,7 +173,7 @@
 	}
 
 	// Counts the requests that are sent if one arrives at each step.
-	private int sentIn(TargetLimits limitsToUse, long from, long to, long step) {
+	private int sentIn(TargetRateLimits limitsToUse, long from, long to, long step) {
 		int sent = 0;
 		for (long now = from; now < to; now += step) {
 			if (limitsToUse.freeInMillis(this.target, now) <= 0) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -13,7 +13,7 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.backpressure.TargetBackpressure;
-import dev.laneworks.core.backpressure.TargetLimits;
+import dev.laneworks.core.backpressure.TargetRateLimits;
 import dev.laneworks.core.directory.DirectoryListener;
 import dev.laneworks.core.directory.EvacuationListener;
 import dev.laneworks.core.directory.Evacuations;
@@ -91,7 +91,7 @@
 	/** The share of this entry in the rate limits that targets advertise. */
 	double share = 1;
 
-	final TargetLimits limits = new TargetLimits((s, t) -> this.share, (t) -> 0);
+	final TargetRateLimits limits = new TargetRateLimits((s, t) -> this.share, (t) -> 0);
 
 	/**
 	 * Incarnations of targets whose back-pressure signals were to be announced
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 
 import dev.laneworks.core.backpressure.TargetBackpressure;
-import dev.laneworks.core.backpressure.TargetLimits;
+import dev.laneworks.core.backpressure.TargetRateLimits;
 import dev.laneworks.core.directory.DirectoryListener;
 import dev.laneworks.core.directory.EvacuationListener;
 import dev.laneworks.core.directory.Evacuations;
@@ -50,7 +50,7 @@
 
 	private final TargetChooser chooser = new TargetChooser(new Eligibility(this.directory, this.estimates,
 			new ColdTargets(new ColdBound(1, 0), new SingleEntry(), (s) -> 0, (e) -> {
-			}), new TargetBackpressure(new TargetLimits((s, t) -> 1, (t) -> 0), (t) -> {
+			}), new TargetBackpressure(new TargetRateLimits((s, t) -> 1, (t) -> 0), (t) -> {
 			}, (e) -> {
 			}), Map.of()), this.estimates, "here", new SplittableRandom(1), Mechanisms.all());
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -17,7 +17,7 @@
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.backpressure.RequestShare;
 import dev.laneworks.core.backpressure.TargetBackpressure;
-import dev.laneworks.core.backpressure.TargetLimits;
+import dev.laneworks.core.backpressure.TargetRateLimits;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.directory.TargetRun;
 import dev.laneworks.core.dispatch.ColdTargets;
@@ -190,7 +190,7 @@
 		this.peers = new PeerEntries(settings, this.beliefs, this.retries, this.loop, random, this.audit);
 		this.cold = new ColdTargets(settings.coldBound(), this.peers, this::coldPerSecond, this.audit);
 		this.suspects = new SuspectTracking(this.peers, this.loop, random, this.audit);
-		TargetLimits limits = new TargetLimits(
+		TargetRateLimits limits = new TargetRateLimits(
 				new RequestShare(() -> this.recentEntryCount, this::ownRequests, this::peerRequests),
 				this.peers::phase);
 		this.backpressure = new TargetBackpressure(limits, this.peers::announceNeeds, this.audit);
