--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/RequestShare.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/ProportionalShare.java
@@ -13,7 +13,7 @@
  *
  * @since 0.4
  */
-public final class RequestShare implements DemandShare {
+public final class ProportionalShare implements DemandShare {
 
 	/**
 	 * The requests added to the count of each entry, so that entries that all receive
@@ -34,7 +34,7 @@
 	 * @param others supplies the recent requests of the other entries; empty while none
 	 * of them is known
 	 */
-	public RequestShare(IntSupplier entries, Requests own, Requests others) {
+	public ProportionalShare(IntSupplier entries, Requests own, Requests others) {
 		this.entries = Objects.requireNonNull(entries, "entries must not be null");
 		this.own = Objects.requireNonNull(own, "own must not be null");
 		this.others = Objects.requireNonNull(others, "others must not be null");
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -202,7 +202,7 @@
 		}
 
 		private void initialize() {
-			RequestShare byRequests = new RequestShare(LimitedFleet.this::runningEntries,
+			ProportionalShare byRequests = new ProportionalShare(LimitedFleet.this::runningEntries,
 					(s, t) -> OptionalLong.of(this.requests.size()), (s, t) -> OptionalLong.of(reportedByOthers()));
 			DemandShare share = switch (LimitedFleet.this.sharing) {
 				case WHOLE -> (s, t) -> 1;
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/RequestShareTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/RequestShareTests.java
@@ -7,7 +7,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link RequestShare}.
+ * Tests for {@link ProportionalShare}.
  */
 class RequestShareTests {
 
@@ -32,7 +32,7 @@
 	}
 
 	private static double share(int entries, long own, OptionalLong others) {
-		return new RequestShare(() -> entries, (s, t) -> OptionalLong.of(own), (s, t) -> others).of("s", 0);
+		return new ProportionalShare(() -> entries, (s, t) -> OptionalLong.of(own), (s, t) -> others).of("s", 0);
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -15,7 +15,7 @@
 import com.codahale.metrics.MetricRegistry;
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
-import dev.laneworks.core.backpressure.RequestShare;
+import dev.laneworks.core.backpressure.ProportionalShare;
 import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.backpressure.TargetRateLimits;
 import dev.laneworks.core.directory.TargetDirectory;
@@ -191,7 +191,7 @@
 		this.cold = new ColdTargets(settings.coldBound(), this.peers, this::coldPerSecond, this.audit);
 		this.suspects = new SuspectTracking(this.peers, this.loop, random, this.audit);
 		TargetRateLimits limits = new TargetRateLimits(
-				new RequestShare(() -> this.recentEntryCount, this::ownRequests, this::peerRequests),
+				new ProportionalShare(() -> this.recentEntryCount, this::ownRequests, this::peerRequests),
 				this.peers::phase);
 		this.backpressure = new TargetBackpressure(limits, this.peers::announceNeeds, this.audit);
 		MembershipEvents members = new MembershipEvents(this.beliefs, this.cold, this.backpressure, this.loop, this.audit);
