--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/ProportionalShare.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/ProportionalShare.java
@@ -13,7 +13,7 @@
  *
  * @since 0.4
  */
-public final class ProportionalShare implements DemandShare {
+public final class ProportionalShare implements RateLimitShare {
 
 	/**
 	 * The requests added to the count of each entry, so that entries that all receive
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/DemandShare.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/RateLimitShare.java
@@ -7,7 +7,7 @@
  * @since 0.4
  */
 @FunctionalInterface
-public interface DemandShare {
+public interface RateLimitShare {
 
 	/**
 	 * Return the share of this entry.
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
@@ -73,7 +73,7 @@
 
 	private static final double MILLIS_PER_SECOND = 1_000;
 
-	private final DemandShare share;
+	private final RateLimitShare share;
 
 	private final ToDoubleFunction<String> phase;
 
@@ -85,7 +85,7 @@
 	 * @param phase computes a number from 0 to 1 for the id of a target that differs
 	 * between entries
 	 */
-	public TargetRateLimits(DemandShare share, ToDoubleFunction<String> phase) {
+	public TargetRateLimits(RateLimitShare share, ToDoubleFunction<String> phase) {
 		this.share = Objects.requireNonNull(share, "share must not be null");
 		this.phase = Objects.requireNonNull(phase, "phase must not be null");
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -204,7 +204,7 @@
 		private void initialize() {
 			ProportionalShare byRequests = new ProportionalShare(LimitedFleet.this::runningEntries,
 					(s, t) -> OptionalLong.of(this.requests.size()), (s, t) -> OptionalLong.of(reportedByOthers()));
-			DemandShare share = switch (LimitedFleet.this.sharing) {
+			RateLimitShare share = switch (LimitedFleet.this.sharing) {
 				case WHOLE -> (s, t) -> 1;
 				case EQUAL -> (s, t) -> 1.0 / runningEntries();
 				case REQUESTS, REQUESTS_RANDOM -> byRequests;
