--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -14,7 +14,7 @@
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.directory.TargetRun;
-import dev.laneworks.core.poison.BrokenRequests;
+import dev.laneworks.core.poison.BrokenConnections;
 import dev.laneworks.core.poison.RequestDigest;
 import dev.laneworks.core.poison.SuspectRequests;
 import dev.laneworks.core.time.Timers;
@@ -64,7 +64,7 @@
 	/** Incarnations that announced their shutdown. */
 	private final Set<TargetRun> announcedShutdown = new HashSet<>();
 
-	private final BrokenRequests brokenRequests = new BrokenRequests();
+	private final BrokenConnections brokenConnections = new BrokenConnections();
 
 	PoisonGuard(SuspectRequests suspects, TargetDirectory directory, Predicate<ListedTarget> announcedDraining,
 			CallEnding ending, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
@@ -91,7 +91,7 @@
 		if (left.isPresent() || runs.isEmpty() || crashesMissing == 0) {
 			return left;
 		}
-		long possiblyCrashed = this.brokenRequests.brokenOffAt(digest, now)
+		long possiblyCrashed = this.brokenConnections.targetsOf(digest, now)
 			.stream()
 			.filter((r) -> !runs.contains(r))
 			.count();
@@ -139,7 +139,7 @@
 				|| this.announcedDraining.test(target)) {
 			return;
 		}
-		if (this.brokenRequests.add(call.request().digest(), call.request().id(), target.run(), now)) {
+		if (this.brokenConnections.add(call.request().digest(), call.request().id(), target.run(), now)) {
 			CHECK_DELAYS_MILLIS.forEach((m) -> this.timers.at(now + m, (t) -> this.outputs.check(target)));
 		}
 	}
@@ -159,7 +159,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void reached(ListedTarget target, long now) {
-		this.brokenRequests.isAlive(target.run(), now);
+		this.brokenConnections.connectionAccepted(target.run(), now);
 	}
 
 	/**
@@ -176,7 +176,7 @@
 				recordCrash(target, "the target list reports " + cause, now);
 			case SAID_SO, SAID_SO_WHEN_ASKED, REFUSED -> {
 				this.announcedShutdown.add(target.run());
-				this.brokenRequests.forget(target.run());
+				this.brokenConnections.remove(target.run());
 			}
 		}
 	}
@@ -209,7 +209,7 @@
 	}
 
 	private void recordCrash(ListedTarget target, String evidence, long now) {
-		for (BrokenRequests.Broken request : this.brokenRequests.endOf(target.run(), now)) {
+		for (BrokenConnections.Broken request : this.brokenConnections.takeAfterCrash(target.run(), now)) {
 			boolean isNew = this.suspects.ended(request.digest(), target.run(), request.brokenAt(), now);
 			this.audit.record(AuditEvent.of(AuditKind.SUSPECTED, request.requestId(), target.id(),
 					"the target crashed while executing it, " + evidence + "; digest " + request.digest().label() + ", "
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenConnections.java
@@ -18,7 +18,7 @@
  *
  * @since 0.4
  */
-public final class BrokenRequests {
+public final class BrokenConnections {
 
 	/**
 	 * The time within which a crash is attributed to a request after its connection
@@ -56,7 +56,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the incarnations of the targets
 	 */
-	public Set<TargetRun> brokenOffAt(RequestDigest digest, long now) {
+	public Set<TargetRun> targetsOf(RequestDigest digest, long now) {
 		removeExpired(now);
 		return this.byIncarnation.entrySet()
 			.stream()
@@ -71,7 +71,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the requests that broke off there recently enough
 	 */
-	public List<Broken> endOf(TargetRun incarnation, long now) {
+	public List<Broken> takeAfterCrash(TargetRun incarnation, long now) {
 		removeExpired(now);
 		List<Broken> requests = this.byIncarnation.remove(incarnation);
 		return (requests != null) ? requests : List.of();
@@ -84,7 +84,7 @@
 	 * @param incarnation the incarnation of the target
 	 * @param now the current time in milliseconds
 	 */
-	public void isAlive(TargetRun incarnation, long now) {
+	public void connectionAccepted(TargetRun incarnation, long now) {
 		Optional.ofNullable(this.byIncarnation.get(incarnation))
 			.ifPresent((requests) -> requests.removeIf((b) -> now - b.brokenAt() >= CRASHING_MILLIS));
 		removeExpired(now);
@@ -95,7 +95,7 @@
 	 * it.
 	 * @param incarnation the incarnation of the target
 	 */
-	public void forget(TargetRun incarnation) {
+	public void remove(TargetRun incarnation) {
 		this.byIncarnation.remove(incarnation);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/BrokenRequestsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/BrokenRequestsTests.java
@@ -8,7 +8,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link BrokenRequests}.
+ * Tests for {@link BrokenConnections}.
  */
 class BrokenRequestsTests {
 
@@ -18,59 +18,59 @@
 
 	private static final TargetRun INCARNATION = TargetRun.of("a");
 
-	private final BrokenRequests broken = new BrokenRequests();
+	private final BrokenConnections brokenConnections = new BrokenConnections();
 
 	@Test
 	void endOfATargetReturnsItsBrokenRequestsOnce() {
-		assertThat(this.broken.add(ONE, "r1", INCARNATION, 0)).isTrue();
-		assertThat(this.broken.add(OTHER, "r2", INCARNATION, 10)).isFalse();
-		this.broken.add(ONE, "r3", TargetRun.of("b"), 10);
-		assertThat(requestIds(this.broken.endOf(INCARNATION, 4_500))).containsExactly("r1", "r2");
-		assertThat(this.broken.endOf(INCARNATION, 4_500)).isEmpty();
+		assertThat(this.brokenConnections.add(ONE, "r1", INCARNATION, 0)).isTrue();
+		assertThat(this.brokenConnections.add(OTHER, "r2", INCARNATION, 10)).isFalse();
+		this.brokenConnections.add(ONE, "r3", TargetRun.of("b"), 10);
+		assertThat(requestIds(this.brokenConnections.takeAfterCrash(INCARNATION, 4_500))).containsExactly("r1", "r2");
+		assertThat(this.brokenConnections.takeAfterCrash(INCARNATION, 4_500)).isEmpty();
 	}
 
 	@Test
 	void endIsNotAttributedToOldBreaks() {
-		this.broken.add(ONE, "r1", INCARNATION, 0);
-		assertThat(this.broken.endOf(INCARNATION, 4_501)).isEmpty();
+		this.brokenConnections.add(ONE, "r1", INCARNATION, 0);
+		assertThat(this.brokenConnections.takeAfterCrash(INCARNATION, 4_501)).isEmpty();
 	}
 
 	@Test
 	void acceptedConnectionKeepsOnlyTheLatestBreaks() {
-		this.broken.add(ONE, "r1", INCARNATION, 0);
-		this.broken.add(OTHER, "r2", INCARNATION, 100);
-		this.broken.isAlive(INCARNATION, 250);
-		assertThat(requestIds(this.broken.endOf(INCARNATION, 250))).containsExactly("r2");
+		this.brokenConnections.add(ONE, "r1", INCARNATION, 0);
+		this.brokenConnections.add(OTHER, "r2", INCARNATION, 100);
+		this.brokenConnections.connectionAccepted(INCARNATION, 250);
+		assertThat(requestIds(this.brokenConnections.takeAfterCrash(INCARNATION, 250))).containsExactly("r2");
 	}
 
 	// Guards against a failure on an incarnation without recorded requests.
 	@Test
 	void acceptedConnectionWithoutBrokenRequestsHasNoEffect() {
-		this.broken.isAlive(INCARNATION, 0);
-		this.broken.add(ONE, "r1", INCARNATION, 0);
-		this.broken.endOf(INCARNATION, 10);
-		this.broken.isAlive(INCARNATION, 300);
-		assertThat(this.broken.endOf(INCARNATION, 300)).isEmpty();
+		this.brokenConnections.connectionAccepted(INCARNATION, 0);
+		this.brokenConnections.add(ONE, "r1", INCARNATION, 0);
+		this.brokenConnections.takeAfterCrash(INCARNATION, 10);
+		this.brokenConnections.connectionAccepted(INCARNATION, 300);
+		assertThat(this.brokenConnections.takeAfterCrash(INCARNATION, 300)).isEmpty();
 	}
 
 	@Test
 	void announcedEndRemovesBrokenRequests() {
-		this.broken.add(ONE, "r1", INCARNATION, 0);
-		this.broken.forget(INCARNATION);
-		assertThat(this.broken.endOf(INCARNATION, 10)).isEmpty();
+		this.brokenConnections.add(ONE, "r1", INCARNATION, 0);
+		this.brokenConnections.remove(INCARNATION);
+		assertThat(this.brokenConnections.takeAfterCrash(INCARNATION, 10)).isEmpty();
 	}
 
 	@Test
 	void returnsTargetsWhereARequestBrokeOff() {
-		this.broken.add(ONE, "r1", INCARNATION, 0);
-		this.broken.add(ONE, "r2", TargetRun.of("b"), 10);
-		this.broken.add(OTHER, "r3", TargetRun.of("c"), 10);
-		assertThat(this.broken.brokenOffAt(ONE, 20)).containsExactly(INCARNATION, TargetRun.of("b"));
-		assertThat(this.broken.brokenOffAt(ONE, 4_505)).containsExactly(TargetRun.of("b"));
+		this.brokenConnections.add(ONE, "r1", INCARNATION, 0);
+		this.brokenConnections.add(ONE, "r2", TargetRun.of("b"), 10);
+		this.brokenConnections.add(OTHER, "r3", TargetRun.of("c"), 10);
+		assertThat(this.brokenConnections.targetsOf(ONE, 20)).containsExactly(INCARNATION, TargetRun.of("b"));
+		assertThat(this.brokenConnections.targetsOf(ONE, 4_505)).containsExactly(TargetRun.of("b"));
 	}
 
-	private static List<String> requestIds(List<BrokenRequests.Broken> requests) {
-		return requests.stream().map(BrokenRequests.Broken::requestId).toList();
+	private static List<String> requestIds(List<BrokenConnections.Broken> requests) {
+		return requests.stream().map(BrokenConnections.Broken::requestId).toList();
 	}
 
 }
