--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/Suspect.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/Suspect.java
@@ -73,13 +73,13 @@
 	}
 
 	SuspectReport report(RequestDigest digest, long now) {
-		List<EndedRun> ends = this.crashTimes.entrySet()
+		List<TargetCrash> crashes = this.crashTimes.entrySet()
 			.stream()
-			.map((e) -> new EndedRun(e.getKey(), Math.max(0, now - e.getValue())))
+			.map((e) -> new TargetCrash(e.getKey(), Math.max(0, now - e.getValue())))
 			.toList();
 		OptionalLong completionAge = this.completedAt.isPresent()
 				? OptionalLong.of(Math.max(0, now - this.completedAt.getAsLong())) : OptionalLong.empty();
-		return new SuspectReport(digest, ends, completionAge);
+		return new SuspectReport(digest, crashes, completionAge);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectReport.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectReport.java
@@ -14,7 +14,7 @@
  * none is known
  * @since 0.4
  */
-public record SuspectReport(RequestDigest digest, List<EndedRun> ends, OptionalLong soundAgeMillis) {
+public record SuspectReport(RequestDigest digest, List<TargetCrash> ends, OptionalLong soundAgeMillis) {
 
 	public SuspectReport {
 		Objects.requireNonNull(digest, "digest must not be null");
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -118,7 +118,7 @@
 				this.listener.cleared(digest, now);
 			}
 		});
-		report.ends().forEach((e) -> ended(digest, e.run(), now - e.ageMillis(), now));
+		report.ends().forEach((e) -> ended(digest, e.incarnation(), now - e.ageMillis(), now));
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/EndedRun.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/TargetCrash.java
@@ -7,14 +7,14 @@
 /**
  * Incarnation of a target that crashed while executing a request.
  *
- * @param run the incarnation of the target
+ * @param incarnation the incarnation of the target
  * @param ageMillis the time since the crash, in milliseconds
  * @since 0.4
  */
-public record EndedRun(TargetRun run, long ageMillis) {
+public record TargetCrash(TargetRun incarnation, long ageMillis) {
 
-	public EndedRun {
-		Objects.requireNonNull(run, "run must not be null");
+	public TargetCrash {
+		Objects.requireNonNull(incarnation, "incarnation must not be null");
 		if (ageMillis < 0) {
 			throw new IllegalArgumentException("ageMillis must not be negative");
 		}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-import dev.laneworks.core.poison.EndedRun;
 import dev.laneworks.core.poison.RequestDigest;
 import dev.laneworks.core.poison.SuspectReport;
+import dev.laneworks.core.poison.TargetCrash;
 import dev.laneworks.wire.proto.Protocol;
 
 /**
@@ -40,7 +40,7 @@
 			.setLow(digest.low());
 		report.ends()
 			.forEach((e) -> builder.addEnds(Protocol.EndedRun.newBuilder()
-				.setTarget(TargetIncarnationFormat.format(e.run()))
+				.setTarget(TargetIncarnationFormat.format(e.incarnation()))
 				.setAgeMillis(e.ageMillis())));
 		report.soundAgeMillis().ifPresent(builder::setSoundAgeMillis);
 		return builder.build();
@@ -48,13 +48,13 @@
 
 	private static SuspectReport decode(Protocol.SuspectReport report) {
 		RequestDigest digest = new RequestDigest(report.getCaller(), report.getHigh(), report.getLow());
-		List<EndedRun> ends = report.getEndsList()
+		List<TargetCrash> crashes = report.getEndsList()
 			.stream()
-			.map((e) -> new EndedRun(TargetIncarnationFormat.parse(e.getTarget()), e.getAgeMillis()))
+			.map((e) -> new TargetCrash(TargetIncarnationFormat.parse(e.getTarget()), e.getAgeMillis()))
 			.toList();
 		OptionalLong soundAge = report.hasSoundAgeMillis() ? OptionalLong.of(report.getSoundAgeMillis())
 				: OptionalLong.empty();
-		return new SuspectReport(digest, ends, soundAge);
+		return new SuspectReport(digest, crashes, soundAge);
 	}
 
 }
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/SuspectCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/SuspectCodecTests.java
@@ -7,9 +7,9 @@
 
 import com.google.protobuf.UnknownFieldSet;
 import dev.laneworks.core.directory.TargetRun;
-import dev.laneworks.core.poison.EndedRun;
 import dev.laneworks.core.poison.RequestDigest;
 import dev.laneworks.core.poison.SuspectReport;
+import dev.laneworks.core.poison.TargetCrash;
 import dev.laneworks.wire.proto.Protocol;
 import org.junit.jupiter.api.Test;
 
@@ -27,8 +27,8 @@
 	void decodesEncodedReports() {
 		List<SuspectReport> reports = List.of(
 				new SuspectReport(DIGEST,
-						List.of(new EndedRun(TargetRun.of("i-a", 1_700_000_000_000L), 12),
-								new EndedRun(TargetRun.of("i@b"), 0)),
+						List.of(new TargetCrash(TargetRun.of("i-a", 1_700_000_000_000L), 12),
+								new TargetCrash(TargetRun.of("i@b"), 0)),
 						OptionalLong.empty()),
 				new SuspectReport(new RequestDigest(0, 0, 0), List.of(), OptionalLong.of(0)));
 		Optional<Protocol.EntryDatagram> read = EntryDatagramCodec.decode(EntryDatagramCodec.encode(reports));
@@ -66,8 +66,8 @@
 		assertThat(EntryDatagramCodec.encode(Collections.nCopies(64, report)).length).isLessThan(16 * 1024);
 	}
 
-	private static EndedRun crash(String target) {
-		return new EndedRun(TargetRun.of(target, 1_700_000_000_000L), 600_000);
+	private static TargetCrash crash(String target) {
+		return new TargetCrash(TargetRun.of(target, 1_700_000_000_000L), 600_000);
 	}
 
 }
