--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -85,9 +85,9 @@
 	}
 
 	private OptionalLong quarantineLeftMillis(RequestDigest digest, long now) {
-		OptionalLong left = this.suspects.quarantinedFor(digest, now);
-		Set<TargetRun> runs = this.suspects.endedUnder(digest);
-		int crashesMissing = this.suspects.endsMissing(digest);
+		OptionalLong left = this.suspects.remainingQuarantineMillis(digest, now);
+		Set<TargetRun> runs = this.suspects.crashedTargets(digest);
+		int crashesMissing = this.suspects.remainingCrashes(digest);
 		if (left.isPresent() || runs.isEmpty() || crashesMissing == 0) {
 			return left;
 		}
@@ -112,7 +112,7 @@
 		if (!this.enabled || left.isEmpty()) {
 			return false;
 		}
-		String runs = this.suspects.endedUnder(digest)
+		String runs = this.suspects.crashedTargets(digest)
 			.stream()
 			.map(TargetRun::id)
 			.sorted()
@@ -196,7 +196,7 @@
 
 	void ranWhole(DirectCall call, long now) {
 		if (this.enabled) {
-			this.suspects.ranWhole(call.request().digest(), now);
+			this.suspects.recordCompletion(call.request().digest(), now);
 		}
 	}
 
@@ -210,10 +210,10 @@
 
 	private void recordCrash(ListedTarget target, String evidence, long now) {
 		for (BrokenConnections.Broken request : this.brokenConnections.takeAfterCrash(target.run(), now)) {
-			boolean isNew = this.suspects.ended(request.digest(), target.run(), request.brokenAt(), now);
+			boolean isNew = this.suspects.recordCrash(request.digest(), target.run(), request.brokenAt(), now);
 			this.audit.record(AuditEvent.of(AuditKind.SUSPECTED, request.requestId(), target.id(),
 					"the target crashed while executing it, " + evidence + "; digest " + request.digest().label() + ", "
-							+ this.suspects.endedUnder(request.digest()).size() + " crashes so far"
+							+ this.suspects.crashedTargets(request.digest()).size() + " crashes so far"
 							+ (isNew ? "" : ", already recorded")));
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -65,7 +65,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if the crash was not recorded before
 	 */
-	public boolean ended(RequestDigest digest, TargetRun incarnation, long at, long now) {
+	public boolean recordCrash(RequestDigest digest, TargetRun incarnation, long at, long now) {
 		if (now - at > this.settings.quarantineMillis()) {
 			return false;
 		}
@@ -94,7 +94,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if the request was suspect
 	 */
-	public boolean ranWhole(RequestDigest digest, long now) {
+	public boolean recordCompletion(RequestDigest digest, long now) {
 		this.completed.add(digest);
 		Suspect suspect = this.suspects.get(digest);
 		if (suspect == null || !suspect.recordCompletion(now)) {
@@ -110,7 +110,7 @@
 	 * @param report the crashes and the latest completion of one request
 	 * @param now the current time in milliseconds
 	 */
-	public void heard(SuspectReport report, long now) {
+	public void handleReport(SuspectReport report, long now) {
 		RequestDigest digest = report.digest();
 		report.soundAgeMillis().ifPresent((age) -> {
 			boolean isCleared = this.suspects.computeIfAbsent(digest, (d) -> new Suspect()).recordCompletion(now - age);
@@ -118,7 +118,7 @@
 				this.listener.cleared(digest, now);
 			}
 		});
-		report.ends().forEach((e) -> ended(digest, e.incarnation(), now - e.ageMillis(), now));
+		report.ends().forEach((e) -> recordCrash(digest, e.incarnation(), now - e.ageMillis(), now));
 	}
 
 	/**
@@ -127,7 +127,7 @@
 	 * @param now the current time in milliseconds
 	 * @return milliseconds; empty if it may be sent
 	 */
-	public OptionalLong quarantinedFor(RequestDigest digest, long now) {
+	public OptionalLong remainingQuarantineMillis(RequestDigest digest, long now) {
 		Suspect suspect = this.suspects.get(digest);
 		if (suspect == null || !isQuarantined(suspect, now)) {
 			return OptionalLong.empty();
@@ -148,7 +148,7 @@
 	 * @param digest the digest of the request
 	 * @return the count; 0 if there are enough
 	 */
-	public int endsMissing(RequestDigest digest) {
+	public int remainingCrashes(RequestDigest digest) {
 		Suspect suspect = this.suspects.get(digest);
 		return (suspect != null) ? Math.max(0, requiredCrashes(suspect) - suspect.crashCount())
 				: this.settings.endsToQuarantine();
@@ -159,7 +159,7 @@
 	 * @param digest the digest of the request
 	 * @return the recorded incarnations
 	 */
-	public Set<TargetRun> endedUnder(RequestDigest digest) {
+	public Set<TargetRun> crashedTargets(RequestDigest digest) {
 		return Optional.ofNullable(this.suspects.get(digest))
 			.map(Suspect::incarnations)
 			.map(Set::copyOf)
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
@@ -186,9 +186,9 @@
 			this.harness.checked.clear();
 			RequestDigest digest = digest(suspicionChoices);
 			switch (suspicionChoices.nextInt(20)) {
-				case 0 -> this.harness.suspects.ended(digest, TargetRun.of("x" + suspicionChoices.nextInt(9)),
+				case 0 -> this.harness.suspects.recordCrash(digest, TargetRun.of("x" + suspicionChoices.nextInt(9)),
 						this.harness.now, this.harness.now);
-				case 1 -> this.harness.suspects.ranWhole(digest, this.harness.now);
+				case 1 -> this.harness.suspects.recordCompletion(digest, this.harness.now);
 				default -> {
 				}
 			}
@@ -243,7 +243,7 @@
 			else if (this.harness.assertReady(sent)) {
 				Optional.ofNullable(this.digests.get(sent.call()))
 					.ifPresent((d) -> assertWithMessage("%s: call %s is quarantined", this.name, sent.call())
-						.that(this.harness.suspects.quarantinedFor(d, this.harness.now).isPresent())
+						.that(this.harness.suspects.remainingQuarantineMillis(d, this.harness.now).isPresent())
 						.isFalse());
 				this.needs.ifPresent((n) -> n.goesOut(sent, this.harness.now));
 				this.arrivals.merge(sent.call(), 1, Integer::sum);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
@@ -316,7 +316,7 @@
 				DispatchHarness entry = this.entries.get(Integer.parseInt(address));
 				this.timers.at(this.now + ONE_WAY_MILLIS, (t) -> {
 					entry.hearing = true;
-					reports.forEach((r) -> entry.suspects.heard(r, t));
+					reports.forEach((r) -> entry.suspects.handleReport(r, t));
 					entry.hearing = false;
 				});
 			}
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
@@ -87,9 +87,9 @@
 		start(3);
 		this.entries.get(0).observe("a");
 		passTime(10);
-		this.entries.get(1).suspects.ranWhole(DIGEST, this.now);
+		this.entries.get(1).suspects.recordCompletion(DIGEST, this.now);
 		passTime(10);
-		this.entries.forEach((e) -> assertThat(e.suspects.endedUnder(DIGEST)).isEmpty());
+		this.entries.forEach((e) -> assertThat(e.suspects.crashedTargets(DIGEST)).isEmpty());
 	}
 
 	// Bounds the traffic while a target with 60 requests crashes each half second.
@@ -112,7 +112,7 @@
 	}
 
 	private long quarantiningEntries() {
-		return this.entries.stream().filter((e) -> e.suspects.quarantinedFor(DIGEST, this.now).isPresent()).count();
+		return this.entries.stream().filter((e) -> e.suspects.remainingQuarantineMillis(DIGEST, this.now).isPresent()).count();
 	}
 
 	private void passTime(long millis) {
@@ -145,7 +145,7 @@
 
 		private void observe(RequestDigest digest, String target) {
 			long at = SuspectGossipTests.this.now;
-			this.suspects.ended(digest, TargetRun.of(target), at, at);
+			this.suspects.recordCrash(digest, TargetRun.of(target), at, at);
 		}
 
 		private List<String> others() {
@@ -167,7 +167,7 @@
 			}
 			SuspectGossipTests.this.timers.at(SuspectGossipTests.this.now + LATENCY_MILLIS, (t) -> {
 				other.isReceiving = true;
-				reports.forEach((r) -> other.suspects.heard(r, t));
+				reports.forEach((r) -> other.suspects.handleReport(r, t));
 				other.isReceiving = false;
 			});
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectRequestsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectRequestsTests.java
@@ -26,12 +26,12 @@
 	void threeCrashesQuarantineOnlyTheirRequest() {
 		crash(DIGEST, "a", 0);
 		crash(DIGEST, "b", 10);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 20)).isEqualTo(OptionalLong.empty());
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 20)).isEqualTo(OptionalLong.empty());
 		crash(DIGEST, "c", 30);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 30).getAsLong()).isEqualTo(600_000);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 600_029).getAsLong()).isEqualTo(1);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 600_030)).isEqualTo(OptionalLong.empty());
-		assertThat(this.suspects.quarantinedFor(OTHER, 30)).isEqualTo(OptionalLong.empty());
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 30).getAsLong()).isEqualTo(600_000);
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 600_029).getAsLong()).isEqualTo(1);
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 600_030)).isEqualTo(OptionalLong.empty());
+		assertThat(this.suspects.remainingQuarantineMillis(OTHER, 30)).isEqualTo(OptionalLong.empty());
 		assertThat(this.events).containsExactly("ended 1", "ended 2", "ended 3", "quarantined").inOrder();
 	}
 
@@ -41,48 +41,48 @@
 	void crashOfAnIncarnationCountsOnce() {
 		crash(DIGEST, "a", 0);
 		crash(DIGEST, "a", 10);
-		this.suspects.heard(report(List.of("a"), 0, OptionalLong.empty()), 20);
-		assertThat(this.suspects.endedUnder(DIGEST)).containsExactly(TargetRun.of("a"));
+		this.suspects.handleReport(report(List.of("a"), 0, OptionalLong.empty()), 20);
+		assertThat(this.suspects.crashedTargets(DIGEST)).containsExactly(TargetRun.of("a"));
 	}
 
 	@Test
 	void crashesOfSeveralIncarnationsOfOneTargetCount() {
 		for (long start = 1; start <= 3; start++) {
-			this.suspects.ended(DIGEST, TargetRun.of("a", start), start, start);
+			this.suspects.recordCrash(DIGEST, TargetRun.of("a", start), start, start);
 		}
-		assertThat(this.suspects.quarantinedFor(DIGEST, 3).isPresent()).isTrue();
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 3).isPresent()).isTrue();
 	}
 
 	@Test
 	void completionClearsEarlierCrashes() {
 		crash(DIGEST, "a", 0);
 		crash(DIGEST, "b", 10);
-		assertThat(this.suspects.ranWhole(DIGEST, 20)).isTrue();
-		assertThat(this.suspects.ranWhole(DIGEST, 21)).isFalse();
+		assertThat(this.suspects.recordCompletion(DIGEST, 20)).isTrue();
+		assertThat(this.suspects.recordCompletion(DIGEST, 21)).isFalse();
 		crash(DIGEST, "c", 30);
 		crash(DIGEST, "d", 40);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 40)).isEqualTo(OptionalLong.empty());
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 40)).isEqualTo(OptionalLong.empty());
 	}
 
 	// Guards against a long quarantine of a harmless request that is hit by unrelated
 	// crashes.
 	@Test
 	void requestThatCompletedBeforeNeedsMoreCrashesAndStartsWithAShortQuarantine() {
-		this.suspects.ranWhole(DIGEST, 0);
+		this.suspects.recordCompletion(DIGEST, 0);
 		for (int i = 0; i < 5; i++) {
 			crash(DIGEST, "a" + i, 100);
 		}
-		assertThat(this.suspects.endsMissing(DIGEST)).isEqualTo(1);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 100)).isEqualTo(OptionalLong.empty());
+		assertThat(this.suspects.remainingCrashes(DIGEST)).isEqualTo(1);
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 100)).isEqualTo(OptionalLong.empty());
 		crash(DIGEST, "b", 100);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 100).getAsLong()).isEqualTo(2_000);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 2_100)).isEqualTo(OptionalLong.empty());
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 100).getAsLong()).isEqualTo(2_000);
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 2_100)).isEqualTo(OptionalLong.empty());
 		crash(DIGEST, "c", 3_000);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 3_000).getAsLong()).isEqualTo(4_000);
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 3_000).getAsLong()).isEqualTo(4_000);
 		for (int i = 0; i < 20; i++) {
 			crash(DIGEST, "more" + i, 4_000);
 		}
-		assertThat(this.suspects.quarantinedFor(DIGEST, 4_000).getAsLong()).isEqualTo(128_000);
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 4_000).getAsLong()).isEqualTo(128_000);
 	}
 
 	// Guards against a digest of zeros that matches an empty slot.
@@ -92,27 +92,27 @@
 		crash(zeroDigest, "a", 0);
 		crash(zeroDigest, "b", 0);
 		crash(zeroDigest, "c", 0);
-		assertThat(this.suspects.quarantinedFor(zeroDigest, 0).getAsLong()).isEqualTo(600_000);
+		assertThat(this.suspects.remainingQuarantineMillis(zeroDigest, 0).getAsLong()).isEqualTo(600_000);
 	}
 
 	@Test
 	void crashesReportedByOthersCount() {
 		crash(DIGEST, "a", 1_000);
-		this.suspects.heard(report(List.of("b", "c"), 500, OptionalLong.empty()), 1_000);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 1_000).getAsLong()).isEqualTo(600_000);
+		this.suspects.handleReport(report(List.of("b", "c"), 500, OptionalLong.empty()), 1_000);
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 1_000).getAsLong()).isEqualTo(600_000);
 	}
 
 	@Test
 	void completionInAReportIsAppliedBeforeItsCrashes() {
-		this.suspects.heard(report(List.of("a", "b", "c"), 500, OptionalLong.of(100)), 1_000);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 1_000)).isEqualTo(OptionalLong.empty());
+		this.suspects.handleReport(report(List.of("a", "b", "c"), 500, OptionalLong.of(100)), 1_000);
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 1_000)).isEqualTo(OptionalLong.empty());
 		assertThat(this.events).doesNotContain("quarantined");
 	}
 
 	@Test
 	void ignoresExpiredReports() {
-		this.suspects.heard(report(List.of("a", "b", "c"), 600_001, OptionalLong.empty()), 700_000);
-		assertThat(this.suspects.endedUnder(DIGEST)).isEmpty();
+		this.suspects.handleReport(report(List.of("a", "b", "c"), 600_001, OptionalLong.empty()), 700_000);
+		assertThat(this.suspects.crashedTargets(DIGEST)).isEmpty();
 	}
 
 	@Test
@@ -124,7 +124,7 @@
 			crash(new RequestDigest(9, 9, i), "x" + i, i);
 		}
 		assertThat(this.suspects.size()).isEqualTo(SuspectRequests.MAX_SUSPECTS);
-		assertThat(this.suspects.quarantinedFor(DIGEST, 20_000).isPresent()).isTrue();
+		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 20_000).isPresent()).isTrue();
 		for (int i = 0; i < 2 * SuspectRequests.MAX_SUSPECTS; i++) {
 			RequestDigest harmful = new RequestDigest(8, 8, i);
 			crash(harmful, "a", 20_000 + i);
@@ -151,7 +151,7 @@
 	}
 
 	private void crash(RequestDigest digest, String target, long now) {
-		this.suspects.ended(digest, TargetRun.of(target), now, now);
+		this.suspects.recordCrash(digest, TargetRun.of(target), now, now);
 	}
 
 	private static SuspectReport report(List<String> ends, long ageMillis, OptionalLong completionAgeMillis) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
@@ -62,9 +62,9 @@
 	@Override
 	public void quarantined(RequestDigest digest, long now) {
 		record(digest,
-				(this.applyingPeerReport ? "reported by another entry: " : "") + this.requests.endedUnder(digest).size()
+				(this.applyingPeerReport ? "reported by another entry: " : "") + this.requests.crashedTargets(digest).size()
 						+ " targets crashed while executing it; it is sent to no target for "
-						+ this.requests.quarantinedFor(digest, now).orElse(0) + " ms");
+						+ this.requests.remainingQuarantineMillis(digest, now).orElse(0) + " ms");
 		this.dispatcher.quarantined(digest, now);
 	}
 
@@ -78,7 +78,7 @@
 	private void reportReceived(SuspectReport report) {
 		this.applyingPeerReport = true;
 		try {
-			this.requests.heard(report, this.loop.now());
+			this.requests.handleReport(report, this.loop.now());
 		}
 		finally {
 			this.applyingPeerReport = false;
