--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectListener.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectListener.java
@@ -17,7 +17,7 @@
 	 * @param ends the number of crashes since the request last completed
 	 * @param now the current time in milliseconds
 	 */
-	void ended(RequestDigest digest, TargetRun incarnation, int ends, long now);
+	void crashed(RequestDigest digest, TargetRun incarnation, int ends, long now);
 
 	/**
 	 * Handle the quarantine of a request, which must not be sent to targets from now on.
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -80,7 +80,7 @@
 		this.suspects.remove(digest);
 		this.suspects.put(digest, suspect);
 		evictExcess(now);
-		this.listener.ended(digest, incarnation, suspect.crashCount(), now);
+		this.listener.crashed(digest, incarnation, suspect.crashCount(), now);
 		if (!wasQuarantined && isQuarantined(suspect, now)) {
 			this.listener.quarantined(digest, now);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -407,7 +407,7 @@
 	private final class SuspicionRecorder implements SuspectListener {
 
 		@Override
-		public void ended(RequestDigest digest, TargetRun run, int ends, long now) {
+		public void crashed(RequestDigest digest, TargetRun run, int ends, long now) {
 			DispatchHarness.this.suspected.add(digest);
 			DispatchHarness.this.onSuspicion.accept(digest);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
@@ -173,7 +173,7 @@
 		}
 
 		@Override
-		public void ended(RequestDigest digest, TargetRun run, int ends, long at) {
+		public void crashed(RequestDigest digest, TargetRun run, int ends, long at) {
 			if (!this.isReceiving) {
 				this.gossip.saw(digest, at);
 			}
@@ -186,7 +186,7 @@
 
 		@Override
 		public void cleared(RequestDigest digest, long at) {
-			ended(digest, TargetRun.of("none"), 0, at);
+			crashed(digest, TargetRun.of("none"), 0, at);
 		}
 
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectRequestsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectRequestsTests.java
@@ -162,7 +162,7 @@
 	private final class Listener implements SuspectListener {
 
 		@Override
-		public void ended(RequestDigest digest, TargetRun run, int ends, long now) {
+		public void crashed(RequestDigest digest, TargetRun run, int ends, long now) {
 			SuspectRequestsTests.this.events.add("ended " + ends);
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
@@ -55,7 +55,7 @@
 	}
 
 	@Override
-	public void ended(RequestDigest digest, TargetRun run, int ends, long now) {
+	public void crashed(RequestDigest digest, TargetRun run, int ends, long now) {
 		announceOwn(digest, now);
 	}
 
