--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -112,13 +112,13 @@
 	 */
 	public void handleReport(SuspectReport report, long now) {
 		RequestDigest digest = report.digest();
-		report.soundAgeMillis().ifPresent((age) -> {
+		report.completionAgeMillis().ifPresent((age) -> {
 			boolean isCleared = this.suspects.computeIfAbsent(digest, (d) -> new Suspect()).recordCompletion(now - age);
 			if (isCleared) {
 				this.listener.cleared(digest, now);
 			}
 		});
-		report.ends().forEach((e) -> recordCrash(digest, e.incarnation(), now - e.ageMillis(), now));
+		report.crashes().forEach((e) -> recordCrash(digest, e.incarnation(), now - e.ageMillis(), now));
 	}
 
 	/**
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
@@ -311,7 +311,7 @@
 
 	private void sendReports(Iterable<String> addresses, List<SuspectReport> reports) {
 		for (String address : addresses) {
-			this.gossipBytes += reports.stream().mapToLong((r) -> 30 + 35L * r.ends().size()).sum();
+			this.gossipBytes += reports.stream().mapToLong((r) -> 30 + 35L * r.crashes().size()).sum();
 			if (this.random.nextDouble() >= DATAGRAM_LOSS) {
 				DispatchHarness entry = this.entries.get(Integer.parseInt(address));
 				this.timers.at(this.now + ONE_WAY_MILLIS, (t) -> {
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
@@ -38,11 +38,11 @@
 			.setCaller(digest.caller())
 			.setHigh(digest.high())
 			.setLow(digest.low());
-		report.ends()
+		report.crashes()
 			.forEach((e) -> builder.addEnds(Protocol.EndedRun.newBuilder()
 				.setTarget(TargetIncarnationFormat.format(e.incarnation()))
 				.setAgeMillis(e.ageMillis())));
-		report.soundAgeMillis().ifPresent(builder::setSoundAgeMillis);
+		report.completionAgeMillis().ifPresent(builder::setSoundAgeMillis);
 		return builder.build();
 	}
 
