--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectGossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectGossip.java
@@ -119,7 +119,7 @@
 	 * @param digest the digest of the request
 	 * @param now the current time in milliseconds
 	 */
-	public void saw(RequestDigest digest, long now) {
+	public void report(RequestDigest digest, long now) {
 		if (this.unsent.isEmpty()) {
 			this.timers.at(now, this::sendUnsent);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
@@ -103,7 +103,7 @@
 					this.timers, this.random);
 			entry.onSuspicion = (d) -> {
 				if (!entry.hearing) {
-					gossip.saw(d, this.now);
+					gossip.report(d, this.now);
 				}
 			};
 			gossip.start(0);
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
@@ -175,7 +175,7 @@
 		@Override
 		public void crashed(RequestDigest digest, TargetRun run, int ends, long at) {
 			if (!this.isReceiving) {
-				this.gossip.saw(digest, at);
+				this.gossip.report(digest, at);
 			}
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
@@ -87,7 +87,7 @@
 
 	private void announceOwn(RequestDigest digest, long now) {
 		if (!this.applyingPeerReport) {
-			this.gossip.saw(digest, now);
+			this.gossip.report(digest, now);
 		}
 	}
 
