--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -202,7 +202,7 @@
 
 	// Clears the request of a generation that has sent events for long enough.
 	void event(DirectCall call, Attempt attempt, long now) {
-		if (!call.isCleared() && now - attempt.answeringAt() >= this.suspects.settings().clearedMillis()) {
+		if (!call.isCleared() && now - attempt.answeringAt() >= this.suspects.settings().clearAfterMillis()) {
 			call.clear();
 			ranWhole(call, now);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/PoisonSettings.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/PoisonSettings.java
@@ -3,18 +3,18 @@
 /**
  * Settings for the quarantine of poisoned requests.
  *
- * @param endsToQuarantine the number of crashed incarnations of targets after which a
+ * @param crashesToQuarantine the number of crashed incarnations of targets after which a
  * request is quarantined
- * @param clearedMillis the time for which a generation must send events to be cleared, in
+ * @param clearAfterMillis the time for which a generation must send events to be cleared, in
  * milliseconds
  * @param quarantineMillis the time after the latest crash for which a request is
  * quarantined, in milliseconds
  * @since 0.4
  */
-public record PoisonSettings(int endsToQuarantine, long clearedMillis, long quarantineMillis) {
+public record PoisonSettings(int crashesToQuarantine, long clearAfterMillis, long quarantineMillis) {
 
 	public PoisonSettings {
-		if (endsToQuarantine < 1 || clearedMillis < 0 || quarantineMillis < 0) {
+		if (crashesToQuarantine < 1 || clearAfterMillis < 0 || quarantineMillis < 0) {
 			throw new IllegalArgumentException("endsToQuarantine must be at least 1 and no duration may be negative");
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -151,7 +151,7 @@
 	public int remainingCrashes(RequestDigest digest) {
 		Suspect suspect = this.suspects.get(digest);
 		return (suspect != null) ? Math.max(0, requiredCrashes(suspect) - suspect.crashCount())
-				: this.settings.endsToQuarantine();
+				: this.settings.crashesToQuarantine();
 	}
 
 	/**
@@ -218,7 +218,7 @@
 	}
 
 	private int requiredCrashes(Suspect suspect) {
-		return this.settings.endsToQuarantine() * (suspect.hasCompleted() ? COMPLETED_FACTOR : 1);
+		return this.settings.crashesToQuarantine() * (suspect.hasCompleted() ? COMPLETED_FACTOR : 1);
 	}
 
 	private long quarantineMillis(Suspect suspect) {
