--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/CompletedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/CompletedRequests.java
@@ -21,12 +21,12 @@
 	}
 
 	private static int slot(RequestDigest digest) {
-		return (int) (digest.high() ^ digest.caller()) & (SLOTS - 1);
+		return (int) (digest.high() ^ digest.account()) & (SLOTS - 1);
 	}
 
 	// Never zero, which marks an empty slot.
 	private static long fingerprint(RequestDigest digest) {
-		long fingerprint = digest.low() ^ Long.rotateLeft(digest.caller(), 1);
+		long fingerprint = digest.low() ^ Long.rotateLeft(digest.account(), 1);
 		return (fingerprint != 0) ? fingerprint : 1;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/RequestDigest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/RequestDigest.java
@@ -14,12 +14,12 @@
  * whatever their ids, deadlines and other headers. The account is hashed separately, so
  * that no client can construct a request with the digest of another account.
  *
- * @param caller the hash of the client account
+ * @param account the hash of the client account
  * @param high the upper half of the hash of the content
  * @param low the lower half of the hash of the content
  * @since 0.4
  */
-public record RequestDigest(long caller, long high, long low) {
+public record RequestDigest(long account, long high, long low) {
 
 	/**
 	 * An odd factor, which keeps all information of the hash of the body: the golden
@@ -53,7 +53,7 @@
 	 * @return sixteen hexadecimal digits
 	 */
 	public String label() {
-		return HexFormat.of().toHexDigits(this.caller ^ this.low);
+		return HexFormat.of().toHexDigits(this.account ^ this.low);
 	}
 
 }
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
@@ -35,7 +35,7 @@
 	private static Protocol.SuspectReport encode(SuspectReport report) {
 		RequestDigest digest = report.digest();
 		Protocol.SuspectReport.Builder builder = Protocol.SuspectReport.newBuilder()
-			.setCaller(digest.caller())
+			.setCaller(digest.account())
 			.setHigh(digest.high())
 			.setLow(digest.low());
 		report.crashes()
