--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateGiver.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
@@ -14,7 +14,7 @@
  *
  * @since 0.2
  */
-public final class StateGiver {
+public final class SnapshotSender {
 
 	/** The size of a chunk, which fits into a datagram with its header. */
 	static final int CHUNK_BYTES = 16 * 1024;
@@ -25,7 +25,7 @@
 	/** The time for which an encoded snapshot is reused, in milliseconds. */
 	private static final long REUSE_MILLIS = 2_000;
 
-	private final LongFunction<Optional<StoreState>> state;
+	private final LongFunction<Optional<StoreState>> snapshotSource;
 
 	private final StateForm encoding;
 
@@ -39,8 +39,8 @@
 	 * process has none
 	 * @param encoding encodes the items
 	 */
-	public StateGiver(LongFunction<Optional<StoreState>> state, StateForm encoding) {
-		this.state = state;
+	public SnapshotSender(LongFunction<Optional<StoreState>> state, StateForm encoding) {
+		this.snapshotSource = state;
 		this.encoding = encoding;
 	}
 
@@ -53,7 +53,7 @@
 	 */
 	public List<StatePiece> answer(StateQuestion request, long now) {
 		if (this.chunks.isEmpty() || now - this.encodedAt > REUSE_MILLIS) {
-			this.chunks = this.state.apply(now).map(this::split).orElse(List.of());
+			this.chunks = this.snapshotSource.apply(now).map(this::split).orElse(List.of());
 			this.encodedAt = now;
 		}
 		boolean isSame = !this.chunks.isEmpty() && this.chunks.get(0).revision() == request.revision();
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateTaker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StateTaker.java
@@ -93,7 +93,7 @@
 		if (state.isComplete()) {
 			complete(state);
 		}
-		else if (state.firstMissing() % StateGiver.WINDOW == 0) {
+		else if (state.firstMissing() % SnapshotSender.WINDOW == 0) {
 			this.questions.accept(from, new StateQuestion(state.revision(), state.firstMissing()));
 		}
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -15,7 +15,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link StateGiver} and {@link StateTaker}.
+ * Tests for {@link SnapshotSender} and {@link StateTaker}.
  */
 class StateHandoverTests {
 
@@ -36,7 +36,7 @@
 
 	private boolean isServerSilent;
 
-	private final StateGiver server = new StateGiver((t) -> this.snapshot, new TextForm());
+	private final SnapshotSender server = new SnapshotSender((t) -> this.snapshot, new TextForm());
 
 	private final StateTaker fetcher = new StateTaker(new TextForm(), () -> List.of(A, B), this::sendRequest,
 			this.results::add, this.timers);
@@ -86,7 +86,7 @@
 		List<Sent> delayed = List.copyOf(this.inTransit);
 		this.inTransit.clear();
 		StoreState later = state(101, 20_000);
-		StateGiver other = new StateGiver((t) -> Optional.of(later), new TextForm());
+		SnapshotSender other = new SnapshotSender((t) -> Optional.of(later), new TextForm());
 		other.answer(new StateQuestion(StateQuestion.ANY_REVISION, 0), 0)
 			.forEach((p) -> this.inTransit.add(new Sent(B, p)));
 		deliver(this.inTransit.remove(0));
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -9,7 +9,7 @@
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.follow.StorePosition;
-import dev.laneworks.core.handover.StateGiver;
+import dev.laneworks.core.handover.SnapshotSender;
 import dev.laneworks.core.handover.StatePiece;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.handover.StateTaker;
@@ -27,7 +27,7 @@
 
 	private final StoreFollower follower;
 
-	private final StateGiver server;
+	private final SnapshotSender server;
 
 	private final StateTaker fetcher;
 
@@ -39,7 +39,7 @@
 		this.follower = follower;
 		this.loop = loop;
 		this.audit = audit;
-		this.server = new StateGiver(this::currentSnapshot, new StoreItemsForm());
+		this.server = new SnapshotSender(this::currentSnapshot, new StoreItemsForm());
 		this.fetcher = new StateTaker(new StoreItemsForm(), peers::snapshotSources, peers::requestSnapshot,
 				this::useSnapshot, loop.timers());
 	}
