--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateTaker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
@@ -19,7 +19,7 @@
  *
  * @since 0.2
  */
-public final class StateTaker {
+public final class SnapshotFetcher {
 
 	/** The interval of requests for missing chunks, in milliseconds. */
 	static final long REQUEST_MILLIS = 40;
@@ -49,7 +49,7 @@
 	 * @param receiver receives the complete snapshot
 	 * @param timers schedules requests
 	 */
-	public StateTaker(StateForm encoding, Supplier<List<String>> peers, BiConsumer<String, StateQuestion> questions,
+	public SnapshotFetcher(StateForm encoding, Supplier<List<String>> peers, BiConsumer<String, StateQuestion> questions,
 			Consumer<Taken> receiver, Timers timers) {
 		this.encoding = encoding;
 		this.peers = peers;
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -8,14 +8,14 @@
 import java.util.Random;
 
 import dev.laneworks.core.follow.StoreItem;
-import dev.laneworks.core.handover.StateTaker.Taken;
+import dev.laneworks.core.handover.SnapshotFetcher.Taken;
 import dev.laneworks.core.time.Timers;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link SnapshotSender} and {@link StateTaker}.
+ * Tests for {@link SnapshotSender} and {@link SnapshotFetcher}.
  */
 class StateHandoverTests {
 
@@ -38,7 +38,7 @@
 
 	private final SnapshotSender server = new SnapshotSender((t) -> this.snapshot, new TextForm());
 
-	private final StateTaker fetcher = new StateTaker(new TextForm(), () -> List.of(A, B), this::sendRequest,
+	private final SnapshotFetcher fetcher = new SnapshotFetcher(new TextForm(), () -> List.of(A, B), this::sendRequest,
 			this.results::add, this.timers);
 
 	private long now;
@@ -60,7 +60,7 @@
 			this.inTransit.clear();
 			Collections.shuffle(arriving, random);
 			arriving.stream().filter((s) -> random.nextInt(3) > 0).forEach(this::deliver);
-			passTime(StateTaker.REQUEST_MILLIS);
+			passTime(SnapshotFetcher.REQUEST_MILLIS);
 		}
 		assertThat(this.results.stream().map(Taken::state).toList()).containsExactly(this.snapshot.get());
 	}
@@ -74,7 +74,7 @@
 		passTime(160);
 		this.isServerSilent = false;
 		assertThat(this.requests).contains(B + " -1 0");
-		passTime(StateTaker.REQUEST_MILLIS);
+		passTime(SnapshotFetcher.REQUEST_MILLIS);
 		deliverAll();
 		assertThat(this.results).hasSize(1);
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -9,10 +9,10 @@
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.follow.StorePosition;
+import dev.laneworks.core.handover.SnapshotFetcher;
 import dev.laneworks.core.handover.SnapshotSender;
 import dev.laneworks.core.handover.StatePiece;
 import dev.laneworks.core.handover.StateQuestion;
-import dev.laneworks.core.handover.StateTaker;
 import dev.laneworks.core.handover.StoreState;
 import dev.laneworks.wire.StoreItemsForm;
 
@@ -29,7 +29,7 @@
 
 	private final SnapshotSender server;
 
-	private final StateTaker fetcher;
+	private final SnapshotFetcher fetcher;
 
 	private final EventLoop loop;
 
@@ -40,7 +40,7 @@
 		this.loop = loop;
 		this.audit = audit;
 		this.server = new SnapshotSender(this::currentSnapshot, new StoreItemsForm());
-		this.fetcher = new StateTaker(new StoreItemsForm(), peers::snapshotSources, peers::requestSnapshot,
+		this.fetcher = new SnapshotFetcher(new StoreItemsForm(), peers::snapshotSources, peers::requestSnapshot,
 				this::useSnapshot, loop.timers());
 	}
 
@@ -73,7 +73,7 @@
 			.of(new StoreState(revision.getAsLong(), this.follower.ageMillis(now), this.follower.knownItems()));
 	}
 
-	private void useSnapshot(StateTaker.Taken taken) {
+	private void useSnapshot(SnapshotFetcher.Taken taken) {
 		StoreState state = taken.state();
 		this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_SERVICE, "store", "", "unreachable; adopted revision "
 				+ StorePosition.of(state.revision()) + " from " + taken.from() + ", " + state.ageMillis() + " ms old"));
