--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
@@ -33,7 +33,7 @@
 
 	private final BiConsumer<String, StateQuestion> questions;
 
-	private final Consumer<Taken> receiver;
+	private final Consumer<Result> receiver;
 
 	private final Timers timers;
 
@@ -50,7 +50,7 @@
 	 * @param timers schedules requests
 	 */
 	public SnapshotFetcher(StateForm encoding, Supplier<List<String>> peers, BiConsumer<String, StateQuestion> questions,
-			Consumer<Taken> receiver, Timers timers) {
+			Consumer<Result> receiver, Timers timers) {
 		this.encoding = encoding;
 		this.peers = peers;
 		this.questions = questions;
@@ -102,7 +102,7 @@
 		this.partial = Optional.empty();
 		this.encoding.read(state.bytes()).ifPresent((items) -> {
 			this.isActive = false;
-			this.receiver.accept(new Taken(state.from(), new StoreState(state.revision(), state.ageMillis(), items)));
+			this.receiver.accept(new Result(state.from(), new StoreState(state.revision(), state.ageMillis(), items)));
 		});
 	}
 
@@ -127,7 +127,7 @@
 	 * @param from the address of the sender
 	 * @param state the snapshot
 	 */
-	public record Taken(String from, StoreState state) {
+	public record Result(String from, StoreState state) {
 
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 
 import dev.laneworks.core.follow.StoreItem;
-import dev.laneworks.core.handover.SnapshotFetcher.Taken;
+import dev.laneworks.core.handover.SnapshotFetcher.Result;
 import dev.laneworks.core.time.Timers;
 import org.junit.jupiter.api.Test;
 
@@ -25,7 +25,7 @@
 
 	private final Timers timers = new Timers();
 
-	private final List<Taken> results = new ArrayList<>();
+	private final List<Result> results = new ArrayList<>();
 
 	private final List<String> requests = new ArrayList<>();
 
@@ -47,7 +47,7 @@
 	void receivesSnapshotOfManyChunks() {
 		this.fetcher.start(0);
 		deliverAll();
-		assertThat(this.results).containsExactly(new Taken(A, this.snapshot.get()));
+		assertThat(this.results).containsExactly(new Result(A, this.snapshot.get()));
 	}
 
 	@Test
@@ -62,7 +62,7 @@
 			arriving.stream().filter((s) -> random.nextInt(3) > 0).forEach(this::deliver);
 			passTime(SnapshotFetcher.REQUEST_MILLIS);
 		}
-		assertThat(this.results.stream().map(Taken::state).toList()).containsExactly(this.snapshot.get());
+		assertThat(this.results.stream().map(Result::state).toList()).containsExactly(this.snapshot.get());
 	}
 
 	@Test
@@ -92,7 +92,7 @@
 		deliver(this.inTransit.remove(0));
 		delayed.forEach(this::deliver);
 		deliverAll();
-		assertThat(this.results).containsExactly(new Taken(B, later));
+		assertThat(this.results).containsExactly(new Result(B, later));
 	}
 
 	@Test
@@ -101,7 +101,7 @@
 		this.fetcher.start(0);
 		this.snapshot = Optional.of(state(101, 200_000));
 		deliverAll();
-		assertThat(this.results).containsExactly(new Taken(A, first));
+		assertThat(this.results).containsExactly(new Result(A, first));
 	}
 
 	@Test
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -73,10 +73,10 @@
 			.of(new StoreState(revision.getAsLong(), this.follower.ageMillis(now), this.follower.knownItems()));
 	}
 
-	private void useSnapshot(SnapshotFetcher.Taken taken) {
-		StoreState state = taken.state();
+	private void useSnapshot(SnapshotFetcher.Result result) {
+		StoreState state = result.state();
 		this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_SERVICE, "store", "", "unreachable; adopted revision "
-				+ StorePosition.of(state.revision()) + " from " + taken.from() + ", " + state.ageMillis() + " ms old"));
+				+ StorePosition.of(state.revision()) + " from " + result.from() + ", " + state.ageMillis() + " ms old"));
 		this.follower.adopt(state.items(), state.revision(), this.loop.now());
 	}
 
