--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StatePiece.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotChunk.java
@@ -12,12 +12,12 @@
  * @param data the bytes of the chunk
  * @since 0.2
  */
-public record StatePiece(long revision, long ageMillis, int number, int count, byte[] data) {
+public record SnapshotChunk(long revision, long ageMillis, int number, int count, byte[] data) {
 
 	/** The most chunks of a snapshot; bounds the memory of a receiver. */
 	public static final int MAX_CHUNKS = 512;
 
-	public StatePiece {
+	public SnapshotChunk {
 		Objects.requireNonNull(data, "data must not be null");
 		if (revision < 0 || ageMillis < 0 || count < 1 || count > MAX_CHUNKS || number < 0 || number >= count) {
 			throw new IllegalArgumentException("invalid chunk " + number + " of " + count);
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
@@ -79,7 +79,7 @@
 	 * @param chunk one part of an encoded snapshot
 	 * @param now the current time in milliseconds
 	 */
-	public void received(String from, StatePiece chunk, long now) {
+	public void received(String from, SnapshotChunk chunk, long now) {
 		if (!this.isActive || !this.peers.get().contains(from)) {
 			return;
 		}
@@ -146,7 +146,7 @@
 
 		private long receivedAt;
 
-		PartialSnapshot(String from, StatePiece first) {
+		PartialSnapshot(String from, SnapshotChunk first) {
 			this.from = from;
 			this.revision = first.revision();
 			this.ageMillis = first.ageMillis();
@@ -170,7 +170,7 @@
 		}
 
 		// Returns whether the chunk belongs to this snapshot and was missing.
-		boolean add(String sender, StatePiece chunk, long now) {
+		boolean add(String sender, SnapshotChunk chunk, long now) {
 			boolean isNew = sender.equals(this.from) && chunk.revision() == this.revision
 					&& chunk.count() == this.chunks.length && this.chunks[chunk.number()] == null;
 			if (isNew) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
@@ -29,7 +29,7 @@
 
 	private final StateForm encoding;
 
-	private List<StatePiece> chunks = List.of();
+	private List<SnapshotChunk> chunks = List.of();
 
 	private long encodedAt;
 
@@ -51,7 +51,7 @@
 	 * @return the next missing chunks, from the first one if another revision than the
 	 * current one is requested; empty if this process has no snapshot
 	 */
-	public List<StatePiece> answer(StateQuestion request, long now) {
+	public List<SnapshotChunk> answer(StateQuestion request, long now) {
 		if (this.chunks.isEmpty() || now - this.encodedAt > REUSE_MILLIS) {
 			this.chunks = this.snapshotSource.apply(now).map(this::split).orElse(List.of());
 			this.encodedAt = now;
@@ -61,16 +61,16 @@
 		return this.chunks.stream().skip(first).limit(WINDOW).toList();
 	}
 
-	private List<StatePiece> split(StoreState snapshot) {
+	private List<SnapshotChunk> split(StoreState snapshot) {
 		byte[] bytes = this.encoding.write(snapshot.items());
 		int count = Math.max(1, (bytes.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
-		if (count > StatePiece.MAX_CHUNKS) {
+		if (count > SnapshotChunk.MAX_CHUNKS) {
 			return List.of();
 		}
-		List<StatePiece> split = new ArrayList<>();
+		List<SnapshotChunk> split = new ArrayList<>();
 		for (int i = 0; i < count; i++) {
 			byte[] data = Arrays.copyOfRange(bytes, i * CHUNK_BYTES, Math.min(bytes.length, (i + 1) * CHUNK_BYTES));
-			split.add(new StatePiece(snapshot.revision(), snapshot.ageMillis(), i, count, data));
+			split.add(new SnapshotChunk(snapshot.revision(), snapshot.ageMillis(), i, count, data));
 		}
 		return split;
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -106,7 +106,7 @@
 
 	@Test
 	void ignoresUnknownSendersAndInactiveTransfers() {
-		StatePiece chunk = new StatePiece(900, 0, 0, 1, "k=v".getBytes(StandardCharsets.UTF_8));
+		SnapshotChunk chunk = new SnapshotChunk(900, 0, 0, 1, "k=v".getBytes(StandardCharsets.UTF_8));
 		this.fetcher.received(A, chunk, 0);
 		this.fetcher.start(0);
 		this.fetcher.received("10.9.9.9:7200", chunk, 0);
@@ -150,7 +150,7 @@
 		return new StoreState(revision, 300, List.of(new StoreItem("a", "x".repeat(length)), new StoreItem("b", "y")));
 	}
 
-	private record Sent(String from, StatePiece chunk) {
+	private record Sent(String from, SnapshotChunk chunk) {
 
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -29,7 +29,7 @@
 import dev.laneworks.core.gossip.RetryBudgetUsage;
 import dev.laneworks.core.gossip.UpdateScope;
 import dev.laneworks.core.gossip.WorkAtTarget;
-import dev.laneworks.core.handover.StatePiece;
+import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.mechanism.Mechanism;
 import dev.laneworks.core.mechanism.Mechanisms;
@@ -328,9 +328,9 @@
 		}
 
 		@Override
-		public void piece(String from, StatePiece piece) {
+		public void piece(String from, SnapshotChunk chunk) {
 			PeerEntries.this.loop.run(() -> PeerEntries.this.snapshots
-				.ifPresent((h) -> h.received(from, piece, PeerEntries.this.loop.now())));
+				.ifPresent((h) -> h.received(from, chunk, PeerEntries.this.loop.now())));
 		}
 
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -9,9 +9,9 @@
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.follow.StorePosition;
+import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.SnapshotFetcher;
 import dev.laneworks.core.handover.SnapshotSender;
-import dev.laneworks.core.handover.StatePiece;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.handover.StoreState;
 import dev.laneworks.wire.StoreItemsForm;
@@ -56,12 +56,12 @@
 		this.fetcher.stop();
 	}
 
-	List<StatePiece> answer(StateQuestion question, long now) {
+	List<SnapshotChunk> answer(StateQuestion question, long now) {
 		return this.server.answer(question, now);
 	}
 
-	void received(String from, StatePiece piece, long now) {
-		this.fetcher.received(from, piece, now);
+	void received(String from, SnapshotChunk chunk, long now) {
+		this.fetcher.received(from, chunk, now);
 	}
 
 	private Optional<StoreState> currentSnapshot(long now) {
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
@@ -6,7 +6,7 @@
 import com.google.protobuf.InvalidProtocolBufferException;
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.LoadUpdate;
-import dev.laneworks.core.handover.StatePiece;
+import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.poison.SuspectReport;
 import dev.laneworks.wire.proto.Protocol;
@@ -47,7 +47,7 @@
 			.toByteArray();
 	}
 
-	static byte[] encode(StatePiece chunk) {
+	static byte[] encode(SnapshotChunk chunk) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
 			.setPiece(StateCodec.encode(chunk))
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
@@ -4,7 +4,7 @@
 
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.LoadUpdate;
-import dev.laneworks.core.handover.StatePiece;
+import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.poison.SuspectReport;
 
@@ -43,7 +43,7 @@
 	 * @param from the sender's address, {@code IP:PORT}
 	 * @param chunk the chunk; chunks may arrive in any order
 	 */
-	void piece(String from, StatePiece chunk);
+	void piece(String from, SnapshotChunk chunk);
 
 	/**
 	 * Handle reports of requests during which targets crashed.
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
@@ -7,7 +7,7 @@
 
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.LoadUpdate;
-import dev.laneworks.core.handover.StatePiece;
+import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.poison.SuspectReport;
 import dev.laneworks.wire.proto.Protocol;
@@ -113,7 +113,7 @@
 	 * @param address the receiver's address
 	 * @param chunk the chunk, small enough for a datagram
 	 */
-	public void send(InetSocketAddress address, StatePiece chunk) {
+	public void send(InetSocketAddress address, SnapshotChunk chunk) {
 		write(address, EntryDatagramCodec.encode(chunk));
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StateCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StateCodec.java
@@ -1,7 +1,7 @@
 package dev.laneworks.wire;
 
 import com.google.protobuf.ByteString;
-import dev.laneworks.core.handover.StatePiece;
+import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.wire.proto.Protocol;
 
@@ -26,7 +26,7 @@
 		return new StateQuestion(request.getRevision(), request.getFirstPiece());
 	}
 
-	static Protocol.StatePiece encode(StatePiece chunk) {
+	static Protocol.StatePiece encode(SnapshotChunk chunk) {
 		return Protocol.StatePiece.newBuilder()
 			.setRevision(chunk.revision())
 			.setAgeMillis(chunk.ageMillis())
@@ -36,8 +36,8 @@
 			.build();
 	}
 
-	static StatePiece decode(Protocol.StatePiece chunk) {
-		return new StatePiece(chunk.getRevision(), chunk.getAgeMillis(), chunk.getNumber(), chunk.getCount(),
+	static SnapshotChunk decode(Protocol.StatePiece chunk) {
+		return new SnapshotChunk(chunk.getRevision(), chunk.getAgeMillis(), chunk.getNumber(), chunk.getCount(),
 				chunk.getData().toByteArray());
 	}
 
