--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
@@ -31,7 +31,7 @@
 
 	private final Supplier<List<String>> peers;
 
-	private final BiConsumer<String, StateQuestion> questions;
+	private final BiConsumer<String, SnapshotRequest> requests;
 
 	private final Consumer<Result> receiver;
 
@@ -45,15 +45,15 @@
 	 * Create a receiver; {@link #start(long)} begins the transfer.
 	 * @param encoding decodes the items
 	 * @param peers supplies the addresses of the processes that may have a snapshot
-	 * @param questions sends a request to an address
+	 * @param requests sends a request to an address
 	 * @param receiver receives the complete snapshot
 	 * @param timers schedules requests
 	 */
-	public SnapshotFetcher(StateForm encoding, Supplier<List<String>> peers, BiConsumer<String, StateQuestion> questions,
+	public SnapshotFetcher(StateForm encoding, Supplier<List<String>> peers, BiConsumer<String, SnapshotRequest> requests,
 			Consumer<Result> receiver, Timers timers) {
 		this.encoding = encoding;
 		this.peers = peers;
-		this.questions = questions;
+		this.requests = requests;
 		this.receiver = receiver;
 		this.timers = timers;
 	}
@@ -94,7 +94,7 @@
 			complete(state);
 		}
 		else if (state.firstMissing() % SnapshotSender.WINDOW == 0) {
-			this.questions.accept(from, new StateQuestion(state.revision(), state.firstMissing()));
+			this.requests.accept(from, new SnapshotRequest(state.revision(), state.firstMissing()));
 		}
 	}
 
@@ -113,10 +113,10 @@
 		this.partial = this.partial.filter((g) -> now - g.receivedAt() <= MAX_SILENCE_MILLIS);
 		if (this.partial.isPresent()) {
 			PartialSnapshot state = this.partial.get();
-			this.questions.accept(state.from(), new StateQuestion(state.revision(), state.firstMissing()));
+			this.requests.accept(state.from(), new SnapshotRequest(state.revision(), state.firstMissing()));
 		}
 		else {
-			this.peers.get().forEach((p) -> this.questions.accept(p, new StateQuestion(StateQuestion.ANY_REVISION, 0)));
+			this.peers.get().forEach((p) -> this.requests.accept(p, new SnapshotRequest(SnapshotRequest.ANY_REVISION, 0)));
 		}
 		this.timers.at(now + REQUEST_MILLIS, this::sendRequests);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
@@ -51,13 +51,13 @@
 	 * @return the next missing chunks, from the first one if another revision than the
 	 * current one is requested; empty if this process has no snapshot
 	 */
-	public List<SnapshotChunk> answer(StateQuestion request, long now) {
+	public List<SnapshotChunk> answer(SnapshotRequest request, long now) {
 		if (this.chunks.isEmpty() || now - this.encodedAt > REUSE_MILLIS) {
 			this.chunks = this.snapshotSource.apply(now).map(this::split).orElse(List.of());
 			this.encodedAt = now;
 		}
 		boolean isSame = !this.chunks.isEmpty() && this.chunks.get(0).revision() == request.revision();
-		int first = isSame ? request.firstPiece() : 0;
+		int first = isSame ? request.firstChunk() : 0;
 		return this.chunks.stream().skip(first).limit(WINDOW).toList();
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -87,7 +87,7 @@
 		this.inTransit.clear();
 		StoreState later = state(101, 20_000);
 		SnapshotSender other = new SnapshotSender((t) -> Optional.of(later), new TextForm());
-		other.answer(new StateQuestion(StateQuestion.ANY_REVISION, 0), 0)
+		other.answer(new SnapshotRequest(SnapshotRequest.ANY_REVISION, 0), 0)
 			.forEach((p) -> this.inTransit.add(new Sent(B, p)));
 		deliver(this.inTransit.remove(0));
 		delayed.forEach(this::deliver);
@@ -121,11 +121,11 @@
 	@Test
 	void serverWithoutSnapshotSendsNothing() {
 		this.snapshot = Optional.empty();
-		assertThat(this.server.answer(new StateQuestion(StateQuestion.ANY_REVISION, 0), 0)).isEmpty();
+		assertThat(this.server.answer(new SnapshotRequest(SnapshotRequest.ANY_REVISION, 0), 0)).isEmpty();
 	}
 
-	private void sendRequest(String address, StateQuestion request) {
-		this.requests.add(address + ' ' + request.revision() + ' ' + request.firstPiece());
+	private void sendRequest(String address, SnapshotRequest request) {
+		this.requests.add(address + ' ' + request.revision() + ' ' + request.firstChunk());
 		if (!this.isServerSilent && address.equals(A)) {
 			this.server.answer(request, this.now).forEach((p) -> this.inTransit.add(new Sent(A, p)));
 		}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -30,7 +30,7 @@
 import dev.laneworks.core.gossip.UpdateScope;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.handover.SnapshotChunk;
-import dev.laneworks.core.handover.StateQuestion;
+import dev.laneworks.core.handover.SnapshotRequest;
 import dev.laneworks.core.mechanism.Mechanism;
 import dev.laneworks.core.mechanism.Mechanisms;
 import dev.laneworks.core.poison.SuspectReport;
@@ -135,8 +135,8 @@
 		return List.copyOf(addresses);
 	}
 
-	void requestSnapshot(String address, StateQuestion question) {
-		this.socket.send(socketAddress(address), question);
+	void requestSnapshot(String address, SnapshotRequest request) {
+		this.socket.send(socketAddress(address), request);
 	}
 
 	// Set the listener for store updates read by other entries.
@@ -316,9 +316,9 @@
 		}
 
 		@Override
-		public void question(String from, StateQuestion question) {
+		public void question(String from, SnapshotRequest request) {
 			PeerEntries.this.loop.run(() -> PeerEntries.this.snapshots.stream()
-				.flatMap((h) -> h.answer(question, PeerEntries.this.loop.now()).stream())
+				.flatMap((h) -> h.answer(request, PeerEntries.this.loop.now()).stream())
 				.forEach((p) -> PeerEntries.this.socket.send(socketAddress(from), p)));
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -11,8 +11,8 @@
 import dev.laneworks.core.follow.StorePosition;
 import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.SnapshotFetcher;
+import dev.laneworks.core.handover.SnapshotRequest;
 import dev.laneworks.core.handover.SnapshotSender;
-import dev.laneworks.core.handover.StateQuestion;
 import dev.laneworks.core.handover.StoreState;
 import dev.laneworks.wire.StoreItemsForm;
 
@@ -56,8 +56,8 @@
 		this.fetcher.stop();
 	}
 
-	List<SnapshotChunk> answer(StateQuestion question, long now) {
-		return this.server.answer(question, now);
+	List<SnapshotChunk> answer(SnapshotRequest request, long now) {
+		return this.server.answer(request, now);
 	}
 
 	void received(String from, SnapshotChunk chunk, long now) {
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
@@ -7,7 +7,7 @@
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.SnapshotChunk;
-import dev.laneworks.core.handover.StateQuestion;
+import dev.laneworks.core.handover.SnapshotRequest;
 import dev.laneworks.core.poison.SuspectReport;
 import dev.laneworks.wire.proto.Protocol;
 import org.tinylog.Logger;
@@ -39,7 +39,7 @@
 			.toByteArray();
 	}
 
-	static byte[] encode(StateQuestion request) {
+	static byte[] encode(SnapshotRequest request) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
 			.setQuestion(StateCodec.encode(request))
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
@@ -5,7 +5,7 @@
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.SnapshotChunk;
-import dev.laneworks.core.handover.StateQuestion;
+import dev.laneworks.core.handover.SnapshotRequest;
 import dev.laneworks.core.poison.SuspectReport;
 
 /**
@@ -36,7 +36,7 @@
 	 * @param from the sender's address, {@code IP:PORT}
 	 * @param request the request, with the first chunk that is missing
 	 */
-	void question(String from, StateQuestion request);
+	void question(String from, SnapshotRequest request);
 
 	/**
 	 * Handle one chunk of a snapshot of the store.
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
@@ -8,7 +8,7 @@
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.SnapshotChunk;
-import dev.laneworks.core.handover.StateQuestion;
+import dev.laneworks.core.handover.SnapshotRequest;
 import dev.laneworks.core.poison.SuspectReport;
 import dev.laneworks.wire.proto.Protocol;
 import io.netty.bootstrap.Bootstrap;
@@ -104,7 +104,7 @@
 	 * @param address the receiver's address
 	 * @param request the request, with the first chunk that is missing
 	 */
-	public void send(InetSocketAddress address, StateQuestion request) {
+	public void send(InetSocketAddress address, SnapshotRequest request) {
 		write(address, EntryDatagramCodec.encode(request));
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StateCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StateCodec.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.ByteString;
 import dev.laneworks.core.handover.SnapshotChunk;
-import dev.laneworks.core.handover.StateQuestion;
+import dev.laneworks.core.handover.SnapshotRequest;
 import dev.laneworks.wire.proto.Protocol;
 
 /**
@@ -15,15 +15,15 @@
 	private StateCodec() {
 	}
 
-	static Protocol.StateQuestion encode(StateQuestion request) {
+	static Protocol.StateQuestion encode(SnapshotRequest request) {
 		return Protocol.StateQuestion.newBuilder()
 			.setRevision(request.revision())
-			.setFirstPiece(request.firstPiece())
+			.setFirstPiece(request.firstChunk())
 			.build();
 	}
 
-	static StateQuestion decode(Protocol.StateQuestion request) {
-		return new StateQuestion(request.getRevision(), request.getFirstPiece());
+	static SnapshotRequest decode(Protocol.StateQuestion request) {
+		return new SnapshotRequest(request.getRevision(), request.getFirstPiece());
 	}
 
 	static Protocol.StatePiece encode(SnapshotChunk chunk) {
