--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
@@ -102,7 +102,7 @@
 		this.partial = Optional.empty();
 		this.encoding.read(state.bytes()).ifPresent((items) -> {
 			this.isActive = false;
-			this.receiver.accept(new Result(state.from(), new StoreState(state.revision(), state.ageMillis(), items)));
+			this.receiver.accept(new Result(state.from(), new StoreSnapshot(state.revision(), state.ageMillis(), items)));
 		});
 	}
 
@@ -127,7 +127,7 @@
 	 * @param from the address of the sender
 	 * @param state the snapshot
 	 */
-	public record Result(String from, StoreState state) {
+	public record Result(String from, StoreSnapshot state) {
 
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
@@ -25,7 +25,7 @@
 	/** The time for which an encoded snapshot is reused, in milliseconds. */
 	private static final long REUSE_MILLIS = 2_000;
 
-	private final LongFunction<Optional<StoreState>> snapshotSource;
+	private final LongFunction<Optional<StoreSnapshot>> snapshotSource;
 
 	private final StateForm encoding;
 
@@ -35,12 +35,12 @@
 
 	/**
 	 * Create a server.
-	 * @param state supplies the snapshot for a time in milliseconds; empty if this
+	 * @param snapshot supplies the snapshot for a time in milliseconds; empty if this
 	 * process has none
 	 * @param encoding encodes the items
 	 */
-	public SnapshotSender(LongFunction<Optional<StoreState>> state, StateForm encoding) {
-		this.snapshotSource = state;
+	public SnapshotSender(LongFunction<Optional<StoreSnapshot>> snapshot, StateForm encoding) {
+		this.snapshotSource = snapshot;
 		this.encoding = encoding;
 	}
 
@@ -61,7 +61,7 @@
 		return this.chunks.stream().skip(first).limit(WINDOW).toList();
 	}
 
-	private List<SnapshotChunk> split(StoreState snapshot) {
+	private List<SnapshotChunk> split(StoreSnapshot snapshot) {
 		byte[] bytes = this.encoding.write(snapshot.items());
 		int count = Math.max(1, (bytes.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
 		if (count > SnapshotChunk.MAX_CHUNKS) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StoreState.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StoreSnapshot.java
@@ -13,9 +13,9 @@
  * @param items the items, sorted by key
  * @since 0.2
  */
-public record StoreState(long revision, long ageMillis, List<StoreItem> items) {
+public record StoreSnapshot(long revision, long ageMillis, List<StoreItem> items) {
 
-	public StoreState {
+	public StoreSnapshot {
 		if (revision < 0 || ageMillis < 0) {
 			throw new IllegalArgumentException("revision and ageMillis must not be negative");
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -32,7 +32,7 @@
 	/** Chunks in transit to the receiver. */
 	private final List<Sent> inTransit = new ArrayList<>();
 
-	private Optional<StoreState> snapshot = Optional.of(state(100, 200_000));
+	private Optional<StoreSnapshot> snapshot = Optional.of(state(100, 200_000));
 
 	private boolean isServerSilent;
 
@@ -85,7 +85,7 @@
 		deliver(this.inTransit.get(0));
 		List<Sent> delayed = List.copyOf(this.inTransit);
 		this.inTransit.clear();
-		StoreState later = state(101, 20_000);
+		StoreSnapshot later = state(101, 20_000);
 		SnapshotSender other = new SnapshotSender((t) -> Optional.of(later), new TextForm());
 		other.answer(new SnapshotRequest(SnapshotRequest.ANY_REVISION, 0), 0)
 			.forEach((p) -> this.inTransit.add(new Sent(B, p)));
@@ -97,7 +97,7 @@
 
 	@Test
 	void receivesTheInitialRevisionWhileTheStateChanges() {
-		StoreState first = this.snapshot.get();
+		StoreSnapshot first = this.snapshot.get();
 		this.fetcher.start(0);
 		this.snapshot = Optional.of(state(101, 200_000));
 		deliverAll();
@@ -146,8 +146,8 @@
 		this.timers.run(this.now);
 	}
 
-	private static StoreState state(long revision, int length) {
-		return new StoreState(revision, 300, List.of(new StoreItem("a", "x".repeat(length)), new StoreItem("b", "y")));
+	private static StoreSnapshot state(long revision, int length) {
+		return new StoreSnapshot(revision, 300, List.of(new StoreItem("a", "x".repeat(length)), new StoreItem("b", "y")));
 	}
 
 	private record Sent(String from, SnapshotChunk chunk) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -13,7 +13,7 @@
 import dev.laneworks.core.handover.SnapshotFetcher;
 import dev.laneworks.core.handover.SnapshotRequest;
 import dev.laneworks.core.handover.SnapshotSender;
-import dev.laneworks.core.handover.StoreState;
+import dev.laneworks.core.handover.StoreSnapshot;
 import dev.laneworks.wire.StoreItemsForm;
 
 /**
@@ -64,20 +64,20 @@
 		this.fetcher.received(from, chunk, now);
 	}
 
-	private Optional<StoreState> currentSnapshot(long now) {
+	private Optional<StoreSnapshot> currentSnapshot(long now) {
 		OptionalLong revision = this.follower.knownRevision();
 		if (revision.isEmpty()) {
 			return Optional.empty();
 		}
 		return Optional
-			.of(new StoreState(revision.getAsLong(), this.follower.ageMillis(now), this.follower.knownItems()));
+			.of(new StoreSnapshot(revision.getAsLong(), this.follower.ageMillis(now), this.follower.knownItems()));
 	}
 
 	private void useSnapshot(SnapshotFetcher.Result result) {
-		StoreState state = result.state();
+		StoreSnapshot snapshot = result.state();
 		this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_SERVICE, "store", "", "unreachable; adopted revision "
-				+ StorePosition.of(state.revision()) + " from " + result.from() + ", " + state.ageMillis() + " ms old"));
-		this.follower.adopt(state.items(), state.revision(), this.loop.now());
+				+ StorePosition.of(snapshot.revision()) + " from " + result.from() + ", " + snapshot.ageMillis() + " ms old"));
+		this.follower.adopt(snapshot.items(), snapshot.revision(), this.loop.now());
 	}
 
 }
