--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
@@ -27,7 +27,7 @@
 	/** The silence after which a sender is abandoned, in milliseconds. */
 	private static final long MAX_SILENCE_MILLIS = 150;
 
-	private final StateForm encoding;
+	private final SnapshotFormat format;
 
 	private final Supplier<List<String>> peers;
 
@@ -43,15 +43,15 @@
 
 	/**
 	 * Create a receiver; {@link #start(long)} begins the transfer.
-	 * @param encoding decodes the items
+	 * @param format decodes the items
 	 * @param peers supplies the addresses of the processes that may have a snapshot
 	 * @param requests sends a request to an address
 	 * @param receiver receives the complete snapshot
 	 * @param timers schedules requests
 	 */
-	public SnapshotFetcher(StateForm encoding, Supplier<List<String>> peers, BiConsumer<String, SnapshotRequest> requests,
+	public SnapshotFetcher(SnapshotFormat format, Supplier<List<String>> peers, BiConsumer<String, SnapshotRequest> requests,
 			Consumer<Result> receiver, Timers timers) {
-		this.encoding = encoding;
+		this.format = format;
 		this.peers = peers;
 		this.requests = requests;
 		this.receiver = receiver;
@@ -100,7 +100,7 @@
 
 	private void complete(PartialSnapshot state) {
 		this.partial = Optional.empty();
-		this.encoding.read(state.bytes()).ifPresent((items) -> {
+		this.format.decode(state.bytes()).ifPresent((items) -> {
 			this.isActive = false;
 			this.receiver.accept(new Result(state.from(), new StoreSnapshot(state.revision(), state.ageMillis(), items)));
 		});
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StateForm.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFormat.java
@@ -10,20 +10,20 @@
  *
  * @since 0.2
  */
-public interface StateForm {
+public interface SnapshotFormat {
 
 	/**
 	 * Encode items.
 	 * @param items the items
 	 * @return the bytes, identical for equal items
 	 */
-	byte[] write(List<StoreItem> items);
+	byte[] encode(List<StoreItem> items);
 
 	/**
 	 * Decode items.
 	 * @param bytes untrusted bytes
 	 * @return the items; empty if the bytes are invalid
 	 */
-	Optional<List<StoreItem>> read(byte[] bytes);
+	Optional<List<StoreItem>> decode(byte[] bytes);
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
@@ -27,7 +27,7 @@
 
 	private final LongFunction<Optional<StoreSnapshot>> snapshotSource;
 
-	private final StateForm encoding;
+	private final SnapshotFormat format;
 
 	private List<SnapshotChunk> chunks = List.of();
 
@@ -37,11 +37,11 @@
 	 * Create a server.
 	 * @param snapshot supplies the snapshot for a time in milliseconds; empty if this
 	 * process has none
-	 * @param encoding encodes the items
+	 * @param format encodes the items
 	 */
-	public SnapshotSender(LongFunction<Optional<StoreSnapshot>> snapshot, StateForm encoding) {
+	public SnapshotSender(LongFunction<Optional<StoreSnapshot>> snapshot, SnapshotFormat format) {
 		this.snapshotSource = snapshot;
-		this.encoding = encoding;
+		this.format = format;
 	}
 
 	/**
@@ -62,7 +62,7 @@
 	}
 
 	private List<SnapshotChunk> split(StoreSnapshot snapshot) {
-		byte[] bytes = this.encoding.write(snapshot.items());
+		byte[] bytes = this.format.encode(snapshot.items());
 		int count = Math.max(1, (bytes.length + CHUNK_BYTES - 1) / CHUNK_BYTES);
 		if (count > SnapshotChunk.MAX_CHUNKS) {
 			return List.of();
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -157,17 +157,17 @@
 	/**
 	 * Encodes one item per line.
 	 */
-	private static final class TextForm implements StateForm {
+	private static final class TextForm implements SnapshotFormat {
 
 		@Override
-		public byte[] write(List<StoreItem> items) {
+		public byte[] encode(List<StoreItem> items) {
 			StringBuilder text = new StringBuilder();
 			items.forEach((i) -> text.append(i.key()).append('=').append(i.value()).append('\n'));
 			return text.toString().getBytes(StandardCharsets.UTF_8);
 		}
 
 		@Override
-		public Optional<List<StoreItem>> read(byte[] bytes) {
+		public Optional<List<StoreItem>> decode(byte[] bytes) {
 			return Optional.of(new String(bytes, StandardCharsets.UTF_8).lines()
 				.map((l) -> new StoreItem(l.substring(0, 1), l.substring(2)))
 				.toList());
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StoreItemsForm.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StoreItemsForm.java
@@ -5,7 +5,7 @@
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import dev.laneworks.core.follow.StoreItem;
-import dev.laneworks.core.handover.StateForm;
+import dev.laneworks.core.handover.SnapshotFormat;
 import dev.laneworks.wire.proto.Protocol;
 import org.tinylog.Logger;
 
@@ -14,17 +14,17 @@
  *
  * @since 0.2
  */
-public final class StoreItemsForm implements StateForm {
+public final class StoreItemsForm implements SnapshotFormat {
 
 	@Override
-	public byte[] write(List<StoreItem> items) {
+	public byte[] encode(List<StoreItem> items) {
 		Protocol.StoreItems.Builder builder = Protocol.StoreItems.newBuilder();
 		items.forEach((i) -> builder.addItems(Protocol.StoreItem.newBuilder().setKey(i.key()).setValue(i.value())));
 		return builder.build().toByteArray();
 	}
 
 	@Override
-	public Optional<List<StoreItem>> read(byte[] bytes) {
+	public Optional<List<StoreItem>> decode(byte[] bytes) {
 		try {
 			return Optional.of(Protocol.StoreItems.parseFrom(bytes)
 				.getItemsList()
