--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -14,7 +14,7 @@
 import dev.laneworks.core.handover.SnapshotRequest;
 import dev.laneworks.core.handover.SnapshotSender;
 import dev.laneworks.core.handover.StoreSnapshot;
-import dev.laneworks.wire.StoreItemsForm;
+import dev.laneworks.wire.ProtobufSnapshotFormat;
 
 /**
  * Transfer of the plan and the target list between entries for starts during a store
@@ -39,8 +39,8 @@
 		this.follower = follower;
 		this.loop = loop;
 		this.audit = audit;
-		this.server = new SnapshotSender(this::currentSnapshot, new StoreItemsForm());
-		this.fetcher = new SnapshotFetcher(new StoreItemsForm(), peers::snapshotSources, peers::requestSnapshot,
+		this.server = new SnapshotSender(this::currentSnapshot, new ProtobufSnapshotFormat());
+		this.fetcher = new SnapshotFetcher(new ProtobufSnapshotFormat(), peers::snapshotSources, peers::requestSnapshot,
 				this::useSnapshot, loop.timers());
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StoreItemsForm.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/ProtobufSnapshotFormat.java
@@ -14,7 +14,7 @@
  *
  * @since 0.2
  */
-public final class StoreItemsForm implements SnapshotFormat {
+public final class ProtobufSnapshotFormat implements SnapshotFormat {
 
 	@Override
 	public byte[] encode(List<StoreItem> items) {
