--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
@@ -21,7 +21,7 @@
 import dev.laneworks.core.retry.Backoff;
 import dev.laneworks.core.retry.RetryBudget;
 import dev.laneworks.core.routing.DefaultTargetSelector;
-import dev.laneworks.core.routing.TargetBoard;
+import dev.laneworks.core.routing.TargetStates;
 import dev.laneworks.core.routing.TargetSubset;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.core.verdict.Refusal;
@@ -63,10 +63,10 @@
 		this.time = time;
 		this.cluster = cluster;
 		this.index = index;
-		TargetBoard board = new TargetBoard();
-		this.selector = new DefaultTargetSelector(board, new TargetSubset("entry-" + index, "east", 3, 3), "east",
+		TargetStates states = new TargetStates();
+		this.selector = new DefaultTargetSelector(states, new TargetSubset("entry-" + index, "east", 3, 3), "east",
 				random);
-		this.coordinator = new CallCoordinator(SETTINGS, this.selector, board, new RetryBudget(0.5, 5, 20),
+		this.coordinator = new CallCoordinator(SETTINGS, this.selector, states, new RetryBudget(0.5, 5, 20),
 				new Backoff(Duration.ofMillis(20), Duration.ofMillis(200), random), this, (e) -> {
 				});
 		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationLedger(), configurationService,
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
@@ -27,7 +27,7 @@
 import dev.laneworks.core.once.ViewHistory;
 import dev.laneworks.core.routing.DefaultTargetSelector;
 import dev.laneworks.core.routing.RouteRequest;
-import dev.laneworks.core.routing.TargetBoard;
+import dev.laneworks.core.routing.TargetStates;
 import dev.laneworks.core.routing.TargetSubset;
 import dev.laneworks.core.verdict.RefusalReason;
 
@@ -47,7 +47,7 @@
 
 	private final Replay replay;
 
-	private final TargetBoard board = new TargetBoard();
+	private final TargetStates states = new TargetStates();
 
 	private final DefaultTargetSelector selector;
 
@@ -64,7 +64,7 @@
 	CorePolicy(Replay replay, HostSettings settings, LengthModel lengths, boolean encodeLength) {
 		this.replay = replay;
 		this.encodeLength = encodeLength;
-		this.selector = new DefaultTargetSelector(this.board, new TargetSubset("entry", "d", 1000, 0), "d",
+		this.selector = new DefaultTargetSelector(this.states, new TargetSubset("entry", "d", 1000, 0), "d",
 				new SplittableRandom(5));
 		this.selector.use(ConfigurationParser.parse("made", document(replay.engineCount())).get());
 		this.hosts = new GenerationHost[replay.engineCount()];
@@ -72,7 +72,7 @@
 			this.hosts[i] = new GenerationHost("t" + i, 1, settings, new KeyGuard("t" + i, 1, 0, new ViewHistory()),
 					new ConfigurationLedger(), lengths, new Outputs(i), (e) -> {
 					}, 0);
-			this.board.state("t" + i).recordLinkUp(true);
+			this.states.state("t" + i).recordLinkUp(true);
 		}
 	}
 
@@ -100,7 +100,7 @@
 		for (int i = 0; i < this.hosts.length; i++) {
 			this.hosts[i].tick(nowMillis);
 			if (nowMillis - this.lastReportAt >= REPORT_INTERVAL_MILLIS) {
-				this.board.state("t" + i).recordReport(this.hosts[i].load(), nowMillis);
+				this.states.state("t" + i).recordReport(this.hosts[i].load(), nowMillis);
 			}
 		}
 		if (nowMillis - this.lastReportAt >= REPORT_INTERVAL_MILLIS) {
@@ -115,7 +115,7 @@
 			return;
 		}
 		String target = route.get().target().name();
-		this.board.state(target).recordSent();
+		this.states.state(target).recordSent();
 		String model = this.encodeLength ? MODEL + arrival.length() : MODEL;
 		Work work = new Work(String.valueOf(number), WorkKind.COMPLETION, arrival.account(), model, "POST", "/",
 				new byte[0], arrival.priority(), true, Optional.empty(), arrival.promptTokens(), 65_536,
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/SlopesCommand.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/SlopesCommand.java
@@ -25,7 +25,7 @@
 import dev.laneworks.core.once.ViewHistory;
 import dev.laneworks.core.routing.DefaultTargetSelector;
 import dev.laneworks.core.routing.RouteRequest;
-import dev.laneworks.core.routing.TargetBoard;
+import dev.laneworks.core.routing.TargetStates;
 import dev.laneworks.core.routing.TargetSubset;
 import dev.laneworks.core.stream.ChunkLog;
 import dev.laneworks.runtime.program.ExitCode;
@@ -113,15 +113,15 @@
 
 	private Runnable applyToRouting(int targets) {
 		FleetConfiguration configuration = parse(GeneratedFleet.document(1, targets, 10));
-		DefaultTargetSelector selector = createSelector(new TargetBoard());
+		DefaultTargetSelector selector = createSelector(new TargetStates());
 		return () -> selector.use(configuration);
 	}
 
 	private Runnable chooseTarget(int targets) {
-		TargetBoard board = new TargetBoard();
-		DefaultTargetSelector selector = createSelector(board);
+		TargetStates states = new TargetStates();
+		DefaultTargetSelector selector = createSelector(states);
 		selector.use(parse(GeneratedFleet.document(1, targets, 10)));
-		selector.usedTargets().forEach((t) -> board.state(t.name()).recordLinkUp(true));
+		selector.usedTargets().forEach((t) -> states.state(t.name()).recordLinkUp(true));
 		RouteRequest request = new RouteRequest("model-0", INTENT, 77, Set.of());
 		return () -> selector.select(request, 1);
 	}
@@ -224,8 +224,8 @@
 						+ FrameCodec.encode(new ConfigurationMessage.Notice(123_456, 15_000)).getSerializedSize());
 	}
 
-	private static DefaultTargetSelector createSelector(TargetBoard board) {
-		return new DefaultTargetSelector(board, new TargetSubset("entry-1", "dc0", 6, 1), "dc0",
+	private static DefaultTargetSelector createSelector(TargetStates states) {
+		return new DefaultTargetSelector(states, new TargetSubset("entry-1", "dc0", 6, 1), "dc0",
 				new SplittableRandom(1));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -9,8 +9,8 @@
 import dev.laneworks.core.message.StreamId;
 import dev.laneworks.core.retry.Backoff;
 import dev.laneworks.core.retry.RetryBudget;
-import dev.laneworks.core.routing.TargetBoard;
 import dev.laneworks.core.routing.TargetSelector;
+import dev.laneworks.core.routing.TargetStates;
 import dev.laneworks.core.stream.StreamPosition;
 
 /**
@@ -43,16 +43,16 @@
 	 * Create a coordinator without calls.
 	 * @param settings the limits and timeouts
 	 * @param selector selects the target of an attempt
-	 * @param board the recorded state of each target
+	 * @param states the recorded state of each target
 	 * @param budget limits the number of retries
 	 * @param backoff calculates the delay between retries
 	 * @param outputs connects to sidecars and answers callers
 	 * @param audit records decisions and their causes
 	 */
-	public CallCoordinator(CallSettings settings, TargetSelector selector, TargetBoard board, RetryBudget budget,
+	public CallCoordinator(CallSettings settings, TargetSelector selector, TargetStates states, RetryBudget budget,
 			Backoff backoff, CallOutputs outputs, AuditSink audit) {
 		this.context = new CallContext(settings, outputs, audit, new CallCounters(), new SidecarIncarnations(),
-				new TargetOutcomes(board, audit), new OpenCalls());
+				new TargetOutcomes(states, audit), new OpenCalls());
 		this.terminator = new CallTerminator(this.context, backoff);
 		this.dispatcher = new AttemptDispatcher(this.context, selector, this.fixedTargets, this.terminator);
 		this.retryHandler = new RetryHandler(this.context, budget, backoff, this.fixedTargets, this.dispatcher,
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/TargetOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/TargetOutcomes.java
@@ -3,25 +3,25 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.routing.TargetBoard;
 import dev.laneworks.core.routing.TargetState;
+import dev.laneworks.core.routing.TargetStates;
 
 /**
  * Records the outcomes of attempts per target and audits changes of a target's ejection.
  */
 final class TargetOutcomes {
 
-	private final TargetBoard board;
+	private final TargetStates states;
 
 	private final AuditSink audit;
 
-	TargetOutcomes(TargetBoard board, AuditSink audit) {
-		this.board = board;
+	TargetOutcomes(TargetStates states, AuditSink audit) {
+		this.states = states;
 		this.audit = audit;
 	}
 
 	TargetState state(String target) {
-		return this.board.state(target);
+		return this.states.state(target);
 	}
 
 	void markSent(Call call) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/DefaultTargetSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/DefaultTargetSelector.java
@@ -34,7 +34,7 @@
 
 	private static final double PREFIX_BONUS = 0.15;
 
-	private final TargetBoard board;
+	private final TargetStates states;
 
 	private final TargetSubset subset;
 
@@ -48,13 +48,13 @@
 
 	/**
 	 * Create a selector.
-	 * @param board the recorded state of each target
+	 * @param states the recorded state of each target
 	 * @param subset selects the targets that the entry uses
 	 * @param ownDataCentre the data centre of the entry
 	 * @param random the source of random choices
 	 */
-	public DefaultTargetSelector(TargetBoard board, TargetSubset subset, String ownDataCentre, RandomGenerator random) {
-		this.board = board;
+	public DefaultTargetSelector(TargetStates states, TargetSubset subset, String ownDataCentre, RandomGenerator random) {
+		this.states = states;
 		this.subset = subset;
 		this.ownDataCentre = ownDataCentre;
 		this.random = random;
@@ -105,12 +105,12 @@
 	private List<TargetDescription> usable(RouteRequest request, long now) {
 		List<TargetDescription> usable = new ArrayList<>();
 		for (TargetDescription target : this.subsets.getOrDefault(request.model(), List.of())) {
-			TargetState state = this.board.state(target.name());
+			TargetState state = this.states.state(target.name());
 			if (!request.excluded().contains(target.name()) && !state.isLeaving() && state.health().isUsable(now)) {
 				usable.add(target);
 			}
 		}
-		List<TargetDescription> linked = usable.stream().filter((t) -> this.board.state(t.name()).isLinked()).toList();
+		List<TargetDescription> linked = usable.stream().filter((t) -> this.states.state(t.name()).isLinked()).toList();
 		return linked.isEmpty() ? usable : linked;
 	}
 
@@ -152,7 +152,7 @@
 	}
 
 	private Candidate candidate(TargetDescription target, double bonus, String reason) {
-		TargetState state = this.board.state(target.name());
+		TargetState state = this.states.state(target.name());
 		LoadReport report = state.report();
 		double used = (report.capacityTokens() > 0) ? (double) report.usedTokens() / report.capacityTokens() : 0;
 		double score = used + QUEUE_WEIGHT * report.queued() + SENT_WEIGHT * state.sentSinceReport() - bonus;
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetBoard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetStates.java
@@ -9,7 +9,7 @@
  *
  * @since 0.1
  */
-public final class TargetBoard {
+public final class TargetStates {
 
 	private final Map<String, TargetState> states = new HashMap<>();
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -21,7 +21,7 @@
 import dev.laneworks.core.retry.Backoff;
 import dev.laneworks.core.retry.RetryBudget;
 import dev.laneworks.core.routing.Route;
-import dev.laneworks.core.routing.TargetBoard;
+import dev.laneworks.core.routing.TargetStates;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
@@ -51,7 +51,7 @@
 				.filter((t) -> !r.excluded().contains(t))
 				.findFirst()
 				.map((t) -> new Route(new TargetDescription(t, "r", "d", "10.0.0.1", 1, Set.of("m")), "first")),
-			new TargetBoard(), new RetryBudget(0.1, 0, 10),
+			new TargetStates(), new RetryBudget(0.1, 0, 10),
 			new Backoff(Duration.ofMillis(10), Duration.ofMillis(10), new SplittableRandom(1)), this.outputs, (e) -> {
 			});
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/routing/DefaultTargetSelectorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/routing/DefaultTargetSelectorTests.java
@@ -23,9 +23,9 @@
 
 	private static final LoadReport FULL = new LoadReport(9, 9, 1000, 1000, false);
 
-	private final TargetBoard board = new TargetBoard();
+	private final TargetStates states = new TargetStates();
 
-	private final DefaultTargetSelector selector = new DefaultTargetSelector(this.board,
+	private final DefaultTargetSelector selector = new DefaultTargetSelector(this.states,
 			new TargetSubset("entry", "d1", 6, 2), "d1", new SplittableRandom(1));
 
 	@BeforeEach
@@ -36,8 +36,8 @@
 			targets.append("{\"name\": \"%s\", \"region\": \"%s\", \"dataCentre\": \"%s\", ".formatted(name, region,
 					name.substring(0, 2)));
 			targets.append("\"address\": \"10.0.0.1:1\", \"serves\": [\"m\"]},");
-			this.board.state(name).recordReport(IDLE, 0);
-			this.board.state(name).recordLinkUp(true);
+			this.states.state(name).recordReport(IDLE, 0);
+			this.states.state(name).recordLinkUp(true);
 		}
 		this.selector.use(ConfigurationParser.parse("test", "{\"version\": 1, \"targets\": [" + targets + "]}").get());
 	}
@@ -63,14 +63,14 @@
 
 	@Test
 	void excludesDrainingAndRejectingTargets() {
-		this.board.state("d1-a").recordLeaving();
+		this.states.state("d1-a").recordLeaving();
 		assertThat(select(intent(SpillRule.NONE), Set.of()).orElseThrow()).isEqualTo("d1-b");
 		assertThat(select(intent(SpillRule.NONE), Set.of("d1-b")).isEmpty()).isTrue();
 	}
 
 	@Test
 	void excludesTargetsWithoutLinkWhileOthersAreLinked() {
-		this.board.state("d1-a").recordLinkDown();
+		this.states.state("d1-a").recordLinkDown();
 		for (int i = 0; i < 20; i++) {
 			assertThat(select(intent(SpillRule.NONE), Set.of()).orElseThrow()).isEqualTo("d1-b");
 		}
@@ -79,7 +79,7 @@
 	@Test
 	void countsRequestsSentSinceTheLatestReport() {
 		for (int i = 0; i < 10; i++) {
-			this.board.state("d1-a").recordSent();
+			this.states.state("d1-a").recordSent();
 		}
 		int selectedB = 0;
 		for (int i = 0; i < 100; i++) {
@@ -91,7 +91,7 @@
 
 	private void fill(String... targets) {
 		for (String target : targets) {
-			this.board.state(target).recordReport(FULL, 0);
+			this.states.state(target).recordReport(FULL, 0);
 		}
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -18,8 +18,8 @@
 import dev.laneworks.core.retry.Backoff;
 import dev.laneworks.core.retry.RetryBudget;
 import dev.laneworks.core.routing.DefaultTargetSelector;
-import dev.laneworks.core.routing.TargetBoard;
 import dev.laneworks.core.routing.TargetState;
+import dev.laneworks.core.routing.TargetStates;
 import dev.laneworks.core.routing.TargetSubset;
 import dev.laneworks.entry.caller.CallTimes;
 import dev.laneworks.entry.caller.CallerServer;
@@ -125,17 +125,17 @@
 	private EntryState createState(EventLoop loop) {
 		String instance = this.settings.common().instance();
 		String dataCentre = this.settings.common().dataCentre();
-		TargetBoard board = new TargetBoard();
+		TargetStates states = new TargetStates();
 		TargetSubset subset = new TargetSubset(instance, dataCentre, this.settings.targetsInOwnDataCentre(),
 				this.settings.targetsInOtherDataCentres());
-		DefaultTargetSelector selector = new DefaultTargetSelector(board, subset, dataCentre, this.random);
+		DefaultTargetSelector selector = new DefaultTargetSelector(states, subset, dataCentre, this.random);
 		PeerIdentity self = new PeerIdentity(instance, dataCentre, this.random.nextLong());
 		this.links = new TargetLinks(loop, self, LinkSettings.defaults(), this.random.split(),
 				new SidecarLinkListener((c) -> this.duty.put(c), this.calls));
-		EntryState state = new EntryState(board, selector, this.links, seeds());
+		EntryState state = new EntryState(states, selector, this.links, seeds());
 		Backoff backoff = new Backoff(Duration.ofMillis(50), Duration.ofSeconds(2), this.random);
 		RetryBudget budget = new RetryBudget(this.settings.retryShare(), RETRIES_PER_SECOND, MAX_SAVED_RETRIES);
-		CallCoordinator coordinator = new CallCoordinator(this.settings.calls(), selector, board, budget, backoff,
+		CallCoordinator coordinator = new CallCoordinator(this.settings.calls(), selector, states, budget, backoff,
 				state, this.parts.audit());
 		state.attach(coordinator, createConfigurationKeeper());
 		registerMetrics(coordinator.counters());
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
@@ -17,7 +17,7 @@
 import dev.laneworks.core.peer.ConfigurationExchange;
 import dev.laneworks.core.peer.ConfigurationKeeper;
 import dev.laneworks.core.routing.DefaultTargetSelector;
-import dev.laneworks.core.routing.TargetBoard;
+import dev.laneworks.core.routing.TargetStates;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.entry.caller.CallerResponse;
@@ -34,7 +34,7 @@
 
 	private final Map<String, InetSocketAddress> seeds;
 
-	private final TargetBoard board;
+	private final TargetStates board;
 
 	private final DefaultTargetSelector selector;
 
@@ -44,9 +44,9 @@
 
 	private ConfigurationExchange exchange;
 
-	EntryState(TargetBoard board, DefaultTargetSelector selector, TargetLinks links,
+	EntryState(TargetStates states, DefaultTargetSelector selector, TargetLinks links,
 			Map<String, InetSocketAddress> seeds) {
-		this.board = board;
+		this.board = states;
 		this.selector = selector;
 		this.links = links;
 		this.seeds = Map.copyOf(seeds);
@@ -67,7 +67,7 @@
 		return this.exchange.keeper();
 	}
 
-	TargetBoard board() {
+	TargetStates board() {
 		return this.board;
 	}
 
