--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -257,7 +257,7 @@
 	}
 
 	private void handleFarewell(String target, long now) {
-		this.context.targets().state(target).recordLeaving();
+		this.context.targets().state(target).recordDraining();
 		for (Call call : this.context.calls().at(target)) {
 			if (call.phase() == CallPhase.SUBMITTED || call.phase() == CallPhase.REVOKING) {
 				this.retryHandler.handleFailedAttempt(call, CallRefusals.unansweredAtShutdown(call), now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
@@ -122,7 +122,7 @@
 			return;
 		}
 		if (refusal.reason() == RefusalReason.LEAVING) {
-			this.context.targets().state(call.target()).recordLeaving();
+			this.context.targets().state(call.target()).recordDraining();
 		}
 		if (refusal.reason() == RefusalReason.TARGET_LOST) {
 			this.context.targets().reportFailure(call.target(), refusal.detail(), now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/TargetOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/TargetOutcomes.java
@@ -33,7 +33,7 @@
 	void markSettled(Call call) {
 		if (call.isCountedInFlight()) {
 			call.setCountedInFlight(false);
-			state(call.target()).recordDone();
+			state(call.target()).recordCompleted();
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/DefaultTargetSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/DefaultTargetSelector.java
@@ -106,7 +106,7 @@
 		List<TargetDescription> usable = new ArrayList<>();
 		for (TargetDescription target : this.subsets.getOrDefault(request.model(), List.of())) {
 			TargetState state = this.states.state(target.name());
-			if (!request.excluded().contains(target.name()) && !state.isLeaving() && state.health().isUsable(now)) {
+			if (!request.excluded().contains(target.name()) && !state.isDraining() && state.health().isUsable(now)) {
 				usable.add(target);
 			}
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetState.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetState.java
@@ -23,7 +23,7 @@
 
 	private int inFlight;
 
-	private boolean leaving;
+	private boolean draining;
 
 	private boolean linked;
 
@@ -73,8 +73,8 @@
 	 * @return {@code true} if its sidecar reported so, which follows the list of the
 	 * platform
 	 */
-	public boolean isLeaving() {
-		return this.leaving;
+	public boolean isDraining() {
+		return this.draining;
 	}
 
 	/**
@@ -86,12 +86,12 @@
 		this.report = loadReport;
 		this.reportedAt = now;
 		this.sentSinceReport = 0;
-		this.leaving = loadReport.leaving();
+		this.draining = loadReport.leaving();
 	}
 
 	/** Record that the sidecar rejected a request because the target is draining. */
-	public void recordLeaving() {
-		this.leaving = true;
+	public void recordDraining() {
+		this.draining = true;
 	}
 
 	/**
@@ -102,7 +102,7 @@
 	public void recordLinkUp(boolean newIncarnation) {
 		this.linked = true;
 		if (newIncarnation) {
-			this.leaving = false;
+			this.draining = false;
 			this.health = new TargetHealth();
 		}
 	}
@@ -128,7 +128,7 @@
 	}
 
 	/** Record that a request is no longer in progress. */
-	public void recordDone() {
+	public void recordCompleted() {
 		this.inFlight = Math.max(0, this.inFlight - 1);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/routing/DefaultTargetSelectorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/routing/DefaultTargetSelectorTests.java
@@ -63,7 +63,7 @@
 
 	@Test
 	void excludesDrainingAndRejectingTargets() {
-		this.states.state("d1-a").recordLeaving();
+		this.states.state("d1-a").recordDraining();
 		assertThat(select(intent(SpillRule.NONE), Set.of()).orElseThrow()).isEqualTo("d1-b");
 		assertThat(select(intent(SpillRule.NONE), Set.of("d1-b")).isEmpty()).isTrue();
 	}
