--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/TargetHealth.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/TargetHealth.java
@@ -17,7 +17,7 @@
 
 	private static final long MAX_EJECTION_MILLIS = 30_000;
 
-	private int failuresInRow;
+	private int consecutiveFailures;
 
 	private long ejectionMillis;
 
@@ -47,7 +47,7 @@
 	 */
 	public boolean recordSuccess() {
 		boolean wasEjected = this.ejectionMillis != 0;
-		this.failuresInRow = 0;
+		this.consecutiveFailures = 0;
 		this.ejectionMillis = 0;
 		this.trialInProgress = false;
 		return wasEjected;
@@ -59,8 +59,8 @@
 	 * @return {@code true} if an ejection period starts
 	 */
 	public boolean recordFailure(long now) {
-		this.failuresInRow++;
-		if (this.failuresInRow < FAILURES_TO_EJECT && this.ejectionMillis == 0) {
+		this.consecutiveFailures++;
+		if (this.consecutiveFailures < FAILURES_TO_EJECT && this.ejectionMillis == 0) {
 			return false;
 		}
 		this.trialInProgress = false;
@@ -74,8 +74,8 @@
 	 * Return the number of failures since the last success.
 	 * @return the count
 	 */
-	public int failuresInRow() {
-		return this.failuresInRow;
+	public int consecutiveFailures() {
+		return this.consecutiveFailures;
 	}
 
 }
