--- a/laneworks-core/src/main/java/dev/laneworks/core/call/RetryHandler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/RetryHandler.java
@@ -46,7 +46,7 @@
 		this.context.targets().markSettled(call);
 		Verdict verdict = call.mergeVerdict(refusal.verdict());
 		boolean exemptFromBudget = refusal.reason() == RefusalReason.LEAVING;
-		if (!mayRetry(call, refusal, now) || (!exemptFromBudget && !this.budget.tryTake(now))) {
+		if (!mayRetry(call, refusal, now) || (!exemptFromBudget && !this.budget.tryAcquire(now))) {
 			this.terminator.refuse(call, refusal);
 			return;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/RetryBudget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/RetryBudget.java
@@ -55,7 +55,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code false} if the budget is exhausted
 	 */
-	public boolean tryTake(long now) {
+	public boolean tryAcquire(long now) {
 		refill(now);
 		if (this.balance < 1) {
 			return false;
@@ -66,7 +66,7 @@
 
 	/**
 	 * Return the number of available retries.
-	 * @return the balance, refilled at the latest call of {@link #tryTake}
+	 * @return the balance, refilled at the latest call of {@link #tryAcquire}
 	 */
 	public double balance() {
 		return this.balance;
--- a/laneworks-core/src/test/java/dev/laneworks/core/retry/RetryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/retry/RetryTests.java
@@ -18,7 +18,7 @@
 		int taken = 0;
 		for (int i = 0; i < 1_000; i++) {
 			budget.recordSuccess();
-			taken += budget.tryTake(0) ? 1 : 0;
+			taken += budget.tryAcquire(0) ? 1 : 0;
 		}
 		assertThat(taken).isAtMost(5 + 100);
 		assertThat(taken).isAtLeast(100);
@@ -30,7 +30,7 @@
 		int taken = 0;
 		for (int second = 0; second < 60; second++) {
 			for (int i = 0; i < 100; i++) {
-				taken += budget.tryTake(second * 1_000L) ? 1 : 0;
+				taken += budget.tryAcquire(second * 1_000L) ? 1 : 0;
 			}
 		}
 		assertThat(taken).isAtMost(5 + 60);
