--- a/laneworks-core/src/main/java/dev/laneworks/core/time/PauseDetector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/PauseDetector.java
@@ -36,7 +36,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the length of the pause that it ends, in milliseconds; 0 if there was none
 	 */
-	public synchronized long alive(long now) {
+	public synchronized long recordHeartbeat(long now) {
 		long gap = (this.lastHeartbeat != NEVER) ? now - this.lastHeartbeat : 0;
 		boolean isPause = gap >= MIN_PAUSE_MILLIS;
 		if (isPause) {
@@ -53,7 +53,7 @@
 	 * @return the start of a current or recent pause in milliseconds; otherwise the
 	 * current time
 	 */
-	public synchronized long earliest(long now) {
+	public synchronized long earliestEventTime(long now) {
 		if (now - this.pauseEnd <= RECOVERY_MILLIS) {
 			return this.pauseStart;
 		}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EventLoop.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EventLoop.java
@@ -56,7 +56,7 @@
 	 */
 	void begin() {
 		long now = now();
-		long paused = this.pauses.alive(now);
+		long paused = this.pauses.recordHeartbeat(now);
 		if (paused > 0) {
 			this.pauseListener.paused(paused, now);
 			this.timers.run(now);
@@ -66,7 +66,7 @@
 	// Return the earliest time at which an event received now may have happened;
 	// callable from any thread.
 	long earliestEventTime() {
-		return this.pauses.earliest(now());
+		return this.pauses.earliestEventTime(now());
 	}
 
 	// Run an action on the thread, and then the timers that are due.
