--- a/laneworks-core/src/main/java/dev/laneworks/core/time/SuspensionMeter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/SuspensionMeter.java
@@ -65,7 +65,7 @@
 	 * Measure suspensions from now on.
 	 * @param clock a monotonic clock that includes suspensions, in milliseconds
 	 */
-	public synchronized void use(LongSupplier clock) {
+	public synchronized void useBootClock(LongSupplier clock) {
 		this.bootClock = Optional.of(clock);
 		this.bootOffset = offset(clock).orElse(clock.getAsLong() - this.monotonic.getAsLong()) - this.suspensionMillis;
 	}
@@ -81,7 +81,7 @@
 		if (Math.abs(jump) < MIN_JUMP_MILLIS) {
 			return now + this.suspensionMillis;
 		}
-		look();
+		readBootClock();
 		return this.monotonic.getAsLong() + this.suspensionMillis;
 	}
 
@@ -89,7 +89,7 @@
 	 * Read the boot clock. Must be called periodically, since an adjustment of the wall
 	 * clock may hide a suspension.
 	 */
-	public synchronized void look() {
+	public synchronized void readBootClock() {
 		this.wallOffset = this.wallClock.getAsLong() - this.monotonic.getAsLong();
 		this.bootClock.flatMap(this::offset).ifPresent((offset) -> {
 			long total = offset - this.bootOffset;
--- a/laneworks-core/src/test/java/dev/laneworks/core/time/SuspensionMeterTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/time/SuspensionMeterTests.java
@@ -24,7 +24,7 @@
 
 	@Test
 	void addsASuspension() {
-		this.meter.use(this::readBootClock);
+		this.meter.useBootClock(this::readBootClock);
 		suspend(7_000);
 		assertThat(this.meter.millis()).isEqualTo(this.monotonic + 7_000);
 		assertThat(this.meter.suspendedMillis()).isEqualTo(7_000);
@@ -32,7 +32,7 @@
 
 	@Test
 	void adjustmentOfTheWallClockIsNoSuspension() {
-		this.meter.use(this::readBootClock);
+		this.meter.useBootClock(this::readBootClock);
 		this.wallClock += 2_400;
 		assertThat(this.meter.millis()).isEqualTo(this.monotonic);
 		this.wallClock -= 4_800;
@@ -41,10 +41,10 @@
 
 	@Test
 	void lookFindsASuspensionHiddenByAnAdjustment() {
-		this.meter.use(this::readBootClock);
+		this.meter.useBootClock(this::readBootClock);
 		suspend(3_000);
 		this.wallClock -= 3_000;
-		this.meter.look();
+		this.meter.readBootClock();
 		assertThat(this.meter.millis()).isEqualTo(this.monotonic + 3_000);
 	}
 
@@ -57,14 +57,14 @@
 	@Test
 	void ignoresSuspensionsBeforeTheBootClockIsSet() {
 		suspend(7_000);
-		this.meter.use(this::readBootClock);
+		this.meter.useBootClock(this::readBootClock);
 		assertThat(this.meter.millis()).isEqualTo(this.monotonic);
 	}
 
 	// Guards against counting a delay between two readings as a suspension.
 	@Test
 	void ignoresDelayBetweenReadings() {
-		this.meter.use(this::readBootClock);
+		this.meter.useBootClock(this::readBootClock);
 		this.readingDelay = 4_000;
 		this.wallClock += 100;
 		assertThat(this.meter.millis()).isEqualTo(this.monotonic);
@@ -79,13 +79,13 @@
 		for (int seed = 0; seed < 2_000; seed++) {
 			SplittableRandom random = new SplittableRandom(seed);
 			SuspensionMeter simulated = new SuspensionMeter(() -> this.monotonic, () -> this.wallClock);
-			simulated.use(this::readBootClock);
+			simulated.useBootClock(this::readBootClock);
 			long offset = this.bootClock - this.monotonic;
 			long before = simulated.millis();
 			for (int i = 0; i < 40; i++) {
 				boolean isHidden = applyRandomEvent(random);
 				if (isHidden) {
-					simulated.look();
+					simulated.readBootClock();
 				}
 				long current = simulated.millis();
 				assertThat(current).isAtLeast(before);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/MonotonicClock.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/MonotonicClock.java
@@ -33,7 +33,7 @@
 	 * for it. The first call loads a native library and should come last in a start.
 	 */
 	public static void countSuspensions() {
-		BootClock.open().ifPresent((c) -> SUSPENSION_METER.use(c::millis));
+		BootClock.open().ifPresent((c) -> SUSPENSION_METER.useBootClock(c::millis));
 	}
 
 	/**
@@ -41,7 +41,7 @@
 	 * periodically.
 	 */
 	public static void look() {
-		SUSPENSION_METER.look();
+		SUSPENSION_METER.readBootClock();
 	}
 
 	/**
