--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -219,7 +219,7 @@
 		}
 		if (now < this.recoveryEndsAt && !this.draining.contains(id)) {
 			if (this.expiryDeadlines.putIfAbsent(id, this.recoveryEndsAt) == null) {
-				this.timers.at(this.recoveryEndsAt, this::dropExpired);
+				this.timers.schedule(this.recoveryEndsAt, this::dropExpired);
 			}
 			return;
 		}
@@ -279,7 +279,7 @@
 				&& this.endedIncarnations.contains(listing.target().run());
 		if (isStale) {
 			this.staleEntries.put(id, listing);
-			this.timers.at(now + STALE_HOLD_MILLIS, (t) -> releaseStale(listing));
+			this.timers.schedule(now + STALE_HOLD_MILLIS, (t) -> releaseStale(listing));
 		}
 		return isStale;
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -145,7 +145,7 @@
 		this.calls.put(number, call);
 		this.retries.recordRequest(request.service(), now);
 		this.audit.record(call.event(AuditKind.ACCEPTED, "", describe(call)));
-		this.timers.at(call.dueAt() + this.settings.answerSlackMillis(), (t) -> handleDeadline(call, t));
+		this.timers.schedule(call.dueAt() + this.settings.answerSlackMillis(), (t) -> handleDeadline(call, t));
 		this.offers.offer(call, now);
 	}
 
@@ -174,14 +174,14 @@
 		}
 		ListedTarget target = found.get().target();
 		if (this.poison.isQuarantined(call, now)) {
-			this.timers.at(now,
+			this.timers.schedule(now,
 					(t) -> connectFailed(number, attempt, ConnectFault.SILENT, "the request is quarantined", t));
 			return OptionalLong.empty();
 		}
 		Optional<String> rejection = this.eligibility.findRejection(target, now)
 			.filter((c) -> found.get().resume().isEmpty());
 		if (rejection.isPresent()) {
-			this.timers.at(now, (t) -> connectFailed(number, attempt, ConnectFault.SILENT, rejection.get(), t));
+			this.timers.schedule(now, (t) -> connectFailed(number, attempt, ConnectFault.SILENT, rejection.get(), t));
 			return OptionalLong.empty();
 		}
 		found.get().markSent(now);
@@ -189,11 +189,11 @@
 		this.beliefs.of(target).quality().recordSent(now);
 		if (call.isSuccessor(found.get())) {
 			long firstEventDueAt = now + Continuation.FIRST_EVENT_TIMEOUT_MILLIS;
-			this.timers.at(firstEventDueAt, (t) -> this.continuation.handleFirstEventTimeout(call, found.get(), t));
+			this.timers.schedule(firstEventDueAt, (t) -> this.continuation.handleFirstEventTimeout(call, found.get(), t));
 		}
 		if (call.request().route().kind() != RequestKind.STREAMING) {
 			long responseDueAt = now + (long) (call.request().route().goalMillis() * this.settings.silenceGoals());
-			this.timers.at(responseDueAt,
+			this.timers.schedule(responseDueAt,
 					(t) -> find(number, attempt).ifPresent((a) -> this.outcomes.handleNoResponse(call, a, t)));
 		}
 		return OptionalLong.of(remainingMillis);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Offers.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Offers.java
@@ -143,7 +143,7 @@
 	// Sends a call to a target and starts the connect timeout.
 	Attempt begin(DirectCall call, ListedTarget target, Optional<ResumePoint> resume, long now) {
 		Attempt attempt = this.sender.send(call, target, this.engines.apply(call), resume, now);
-		this.timers.at(now + this.connectTime.limitMillis(), (t) -> handleConnectTimeout(call, attempt, t));
+		this.timers.schedule(now + this.connectTime.limitMillis(), (t) -> handleConnectTimeout(call, attempt, t));
 		return attempt;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -182,7 +182,7 @@
 	}
 
 	private void scheduleRefresh(DirectCall call, Attempt attempt, EngineSpec engine, long due) {
-		this.timers.at(due, (t) -> refresh(call, attempt, engine, t));
+		this.timers.schedule(due, (t) -> refresh(call, attempt, engine, t));
 	}
 
 	private void refresh(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -212,7 +212,7 @@
 
 	private void schedulePoll(MoveQueue queue, long due) {
 		if (queue.markPollScheduled()) {
-			this.timers.at(due, (t) -> {
+			this.timers.schedule(due, (t) -> {
 				queue.clearPollScheduled();
 				copyNext(queue, t);
 			});
@@ -308,7 +308,7 @@
 		copying.enter(CopyPhase.WAITING);
 		copying.notBefore(now + RETRY_DELAY_MILLIS);
 		queue.requeue(call);
-		this.timers.at(copying.notBefore(), (t) -> {
+		this.timers.schedule(copying.notBefore(), (t) -> {
 			if (queue.markReady(call)) {
 				copyNext(queue, t);
 			}
@@ -323,7 +323,7 @@
 				resumeAtDestination(call, copying, now);
 			}
 			else {
-				this.timers.at(now + FINAL_EVENTS_TIMEOUT_MILLIS, (t) -> resumeAtDestination(call, copying, t));
+				this.timers.schedule(now + FINAL_EVENTS_TIMEOUT_MILLIS, (t) -> resumeAtDestination(call, copying, t));
 			}
 			return;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/CallTracker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/CallTracker.java
@@ -72,7 +72,7 @@
 	}
 
 	private void scheduleTimeout(long due, long partMillis, Timers.TimedAction overdue, long started) {
-		this.timers.at(due, (t) -> {
+		this.timers.schedule(due, (t) -> {
 			boolean isOver = started != this.number || !this.open;
 			if (isOver) {
 				return;
@@ -152,7 +152,7 @@
 	void schedule(long due, Timers.TimedAction action) {
 		long before = this.number;
 		this.nextCallDue = due;
-		this.timers.at(due, (t) -> {
+		this.timers.schedule(due, (t) -> {
 			if (before == this.number && !this.open) {
 				action.run(t);
 			}
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -373,7 +373,7 @@
 	}
 
 	private void expectChange(long number, long before, long withinMillis, long now) {
-		this.timers.at(now + withinMillis, (t) -> {
+		this.timers.schedule(now + withinMillis, (t) -> {
 			boolean isObsolete = number != this.call.number() || !this.call.isOpen() || this.cache.revision() != before;
 			if (isObsolete) {
 				return;
@@ -525,7 +525,7 @@
 	}
 
 	private void heartbeat(long now) {
-		this.timers.at(now + SharedReading.SIGN_MILLIS, this::heartbeat);
+		this.timers.schedule(now + SharedReading.SIGN_MILLIS, this::heartbeat);
 		readAgainIfStalled(now);
 		probeIfDue(now);
 		if (this.synced && this.call.isOpen() && !isStoreOverdue(now) && !isSilent(now)) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -138,13 +138,13 @@
 		boolean isUrgent = requiredScope == UpdateScope.INVOLVED;
 		if (isUrgent && !this.announcesMoves) {
 			this.announcesMoves = true;
-			this.timers.at(now + this.settings.moveUpdateMillis(), this::announceMoves);
+			this.timers.schedule(now + this.settings.moveUpdateMillis(), this::announceMoves);
 		}
 		this.pendingScope = (requiredScope.compareTo(this.pendingScope) > 0) ? requiredScope : this.pendingScope;
 		long due = isUrgent ? now : Math.max(now, this.lastSentAt + this.settings.minUpdateGapMillis());
 		if (due < this.nextSendAt) {
 			this.nextSendAt = due;
-			this.timers.at(due, this::sendChanges);
+			this.timers.schedule(due, this::sendChanges);
 		}
 	}
 
@@ -343,7 +343,7 @@
 		List<String> distant = hasSpent ? this.selector.distant() : this.selector.distantAt(this.heartbeats);
 		sendAllWork(near, now);
 		send(distant, allWork(this.settings.heartbeatMillis() * this.settings.distantHeartbeats()), now);
-		this.timers.at(now + this.settings.heartbeatMillis(), this::heartbeat);
+		this.timers.schedule(now + this.settings.heartbeatMillis(), this::heartbeat);
 	}
 
 	private void removeSilent(long now) {
@@ -400,7 +400,7 @@
 		this.announcesMoves = !moving.isEmpty() && !this.updates.isEnding();
 		if (this.announcesMoves) {
 			send(this.selector.concernedBy(moving), workAt(moving), now);
-			this.timers.at(now + this.settings.moveUpdateMillis(), this::announceMoves);
+			this.timers.schedule(now + this.settings.moveUpdateMillis(), this::announceMoves);
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
@@ -118,7 +118,7 @@
 		else {
 			this.peers.get().forEach((p) -> this.requests.accept(p, new SnapshotRequest(SnapshotRequest.ANY_REVISION, 0)));
 		}
-		this.timers.at(now + REQUEST_MILLIS, this::sendRequests);
+		this.timers.schedule(now + REQUEST_MILLIS, this::sendRequests);
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
@@ -70,7 +70,7 @@
 		if (this.isListUnavailable.test(now)) {
 			this.engines.get().stream().filter(this.isResponsible).forEach(this::query);
 		}
-		this.timers.at(now + QUERY_INTERVAL_MILLIS, this::start);
+		this.timers.schedule(now + QUERY_INTERVAL_MILLIS, this::start);
 	}
 
 	// Sends no second query to an incarnation with an unanswered one.
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectGossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectGossip.java
@@ -111,7 +111,7 @@
 		if (!receivers.isEmpty()) {
 			send(receivers, this.suspects.reports(SINGLE_CRASH_MILLIS, MAX_REPORTS, now));
 		}
-		this.timers.at(now + ROUND_MILLIS, this::start);
+		this.timers.schedule(now + ROUND_MILLIS, this::start);
 	}
 
 	/**
@@ -121,7 +121,7 @@
 	 */
 	public void report(RequestDigest digest, long now) {
 		if (this.unsent.isEmpty()) {
-			this.timers.at(now, this::sendUnsent);
+			this.timers.schedule(now, this::sendUnsent);
 		}
 		this.unsent.add(digest);
 	}
@@ -131,7 +131,7 @@
 		this.unsent.clear();
 		send(this.entries.get(), reportsOf(observed, now));
 		observed.forEach((d) -> this.repeats.put(d, REPEAT_ROUNDS));
-		this.timers.at(now + FIRST_REPEAT_MILLIS, (t) -> send(this.entries.get(), reportsOf(observed, t)));
+		this.timers.schedule(now + FIRST_REPEAT_MILLIS, (t) -> send(this.entries.get(), reportsOf(observed, t)));
 	}
 
 	private List<SuspectReport> reportsOf(Set<RequestDigest> digests, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/Timers.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/Timers.java
@@ -24,7 +24,7 @@
 	 * @param due the due time in milliseconds
 	 * @param action the action to run
 	 */
-	public void at(long due, TimedAction action) {
+	public void schedule(long due, TimedAction action) {
 		this.tasks.add(new Task(due, this.nextNumber++, action));
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -93,11 +93,11 @@
 	 */
 	void restartHalf(long from, long until) {
 		List<Entry> half = this.entries.subList(this.entries.size() / 2, this.entries.size());
-		this.timers.at(from, (t) -> {
+		this.timers.schedule(from, (t) -> {
 			this.entries.forEach((e) -> e.perSecond *= 2);
 			half.forEach((e) -> e.isRunning = false);
 		});
-		this.timers.at(until, (t) -> {
+		this.timers.schedule(until, (t) -> {
 			this.entries.forEach((e) -> e.perSecond /= 2);
 			half.forEach(Entry::restart);
 		});
@@ -109,8 +109,8 @@
 	 * @param times the factor
 	 */
 	void burst(long at, double times) {
-		this.timers.at(at, (t) -> this.entries.forEach((e) -> e.perSecond *= times));
-		this.timers.at(at + 2_000, (t) -> this.entries.forEach((e) -> e.perSecond /= times));
+		this.timers.schedule(at, (t) -> this.entries.forEach((e) -> e.perSecond *= times));
+		this.timers.schedule(at + 2_000, (t) -> this.entries.forEach((e) -> e.perSecond /= times));
 	}
 
 	LimitedFleet run(long millis) {
@@ -198,7 +198,7 @@
 			this.number = number;
 			this.phase = phase;
 			initialize();
-			LimitedFleet.this.timers.at(LimitedFleet.this.random.nextLong(HEARTBEAT_MILLIS), this::heartbeat);
+			LimitedFleet.this.timers.schedule(LimitedFleet.this.random.nextLong(HEARTBEAT_MILLIS), this::heartbeat);
 		}
 
 		private void initialize() {
@@ -232,7 +232,7 @@
 				this.reportedRequests = this.requests.size();
 				broadcast(this.limits.updates(at));
 			}
-			LimitedFleet.this.timers.at(at + HEARTBEAT_MILLIS, this::heartbeat);
+			LimitedFleet.this.timers.schedule(at + HEARTBEAT_MILLIS, this::heartbeat);
 		}
 
 		private void broadcast(List<RateLimitUpdate> update) {
@@ -242,7 +242,7 @@
 			List<Entry> receivers = LimitedFleet.this.entries.stream()
 				.filter((e) -> e != this && e.isRunning && !isLost())
 				.toList();
-			LimitedFleet.this.timers.at(LimitedFleet.this.now + LATENCY_MILLIS,
+			LimitedFleet.this.timers.schedule(LimitedFleet.this.now + LATENCY_MILLIS,
 					(t) -> receivers.forEach((e) -> update.forEach((n) -> e.limits.recordGossiped(n, t))));
 		}
 
@@ -267,7 +267,7 @@
 			this.limits.sent(LimitedFleet.this.target, at);
 			LimitedFleet.this.arrivals.add(at);
 			TargetRateLimits limitsAtSend = this.limits;
-			LimitedFleet.this.timers.at(at + RESPONSE_MILLIS, (t) -> handleResponse(limitsAtSend, at, t));
+			LimitedFleet.this.timers.schedule(at + RESPONSE_MILLIS, (t) -> handleResponse(limitsAtSend, at, t));
 		}
 
 		private void handleResponse(TargetRateLimits limitsAtSend, long sentAt, long at) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
@@ -143,7 +143,7 @@
 
 	// Crashes a third of the engines at once.
 	void crashThirdAt(long at) {
-		this.timers.at(at,
+		this.timers.schedule(at,
 				(t) -> List.copyOf(this.engines.values()).subList(0, this.engines.size() / 3).forEach(this::crash));
 	}
 
@@ -197,7 +197,7 @@
 
 	private void every(long meanMillis, Runnable action) {
 		long wait = Math.max(1, Math.round(-Math.log(1 - this.random.nextDouble()) * meanMillis));
-		this.timers.at(this.now + wait, (t) -> {
+		this.timers.schedule(this.now + wait, (t) -> {
 			action.run();
 			every(meanMillis, action);
 		});
@@ -237,7 +237,7 @@
 		}
 		boolean wasExecuted = entry.answers(number).contains("refused 502") || entry.answers(number).contains("cut");
 		if (request.harmful && wasExecuted) {
-			this.timers.at(this.now + 1, (t) -> open(request));
+			this.timers.schedule(this.now + 1, (t) -> open(request));
 		}
 	}
 
@@ -256,7 +256,7 @@
 			}
 		}
 		for (ListedTarget checked : List.copyOf(entry.checked)) {
-			this.timers.at(this.now + ONE_WAY_MILLIS,
+			this.timers.schedule(this.now + ONE_WAY_MILLIS,
 					(t) -> entry.dispatcher.checked(checked, !this.engines.containsKey(checked.id()), t));
 		}
 		entry.checked.clear();
@@ -294,9 +294,9 @@
 				handleEnd(run.entry, run.sent.call());
 			}
 		}
-		this.timers.at(this.now + CRASHED_LISTED_MILLIS,
+		this.timers.schedule(this.now + CRASHED_LISTED_MILLIS,
 				(t) -> this.entries.forEach((e) -> e.directory.remove(engine.target.id(), t)));
-		this.timers.at(this.now + REPLACEMENT_MILLIS, (t) -> add());
+		this.timers.schedule(this.now + REPLACEMENT_MILLIS, (t) -> add());
 	}
 
 	private List<String> addresses(DispatchHarness but) {
@@ -314,7 +314,7 @@
 			this.gossipBytes += reports.stream().mapToLong((r) -> 30 + 35L * r.crashes().size()).sum();
 			if (this.random.nextDouble() >= DATAGRAM_LOSS) {
 				DispatchHarness entry = this.entries.get(Integer.parseInt(address));
-				this.timers.at(this.now + ONE_WAY_MILLIS, (t) -> {
+				this.timers.schedule(this.now + ONE_WAY_MILLIS, (t) -> {
 					entry.hearing = true;
 					reports.forEach((r) -> entry.suspects.handleReport(r, t));
 					entry.hearing = false;
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
@@ -117,7 +117,7 @@
 			transfer.sent += part;
 			if (transfer.remaining <= 0) {
 				this.transfers.remove(queued.getKey());
-				this.timers.at(this.now, transfer.onComplete);
+				this.timers.schedule(this.now, transfer.onComplete);
 			}
 			else if (transfer.sent >= PART_BYTES) {
 				queued.getKey().follower.progressed(transfer.call, this.now);
@@ -177,7 +177,7 @@
 		public void watch(long number, long from, long waitMillis) {
 			begin(number);
 			this.watchedRevision = from;
-			LargeItemSimulation.this.timers.at(LargeItemSimulation.this.now + waitMillis, (t) -> {
+			LargeItemSimulation.this.timers.schedule(LargeItemSimulation.this.now + waitMillis, (t) -> {
 				if (this.call == number && this.watchedRevision != Long.MAX_VALUE) {
 					answerWith(List.of());
 				}
@@ -209,7 +209,7 @@
 
 		private void send(long size, Timers.TimedAction onComplete) {
 			Transfer transfer = new Transfer(this.call, size, onComplete);
-			LargeItemSimulation.this.timers.at(LargeItemSimulation.this.now + LargeItemSimulation.this.latencyMillis,
+			LargeItemSimulation.this.timers.schedule(LargeItemSimulation.this.now + LargeItemSimulation.this.latencyMillis,
 					(t) -> {
 						if (this.call == transfer.call) {
 							LargeItemSimulation.this.transfers.put(this, transfer);
@@ -226,7 +226,7 @@
 
 		@Override
 		public void probe() {
-			LargeItemSimulation.this.timers.at(LargeItemSimulation.this.now + STEP_MILLIS,
+			LargeItemSimulation.this.timers.schedule(LargeItemSimulation.this.now + STEP_MILLIS,
 					(t) -> this.follower.probed(LargeItemSimulation.this.revision, t));
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
@@ -165,7 +165,7 @@
 			if (SuspectGossipTests.this.random.nextDouble() < SuspectGossipTests.this.lossRate) {
 				return;
 			}
-			SuspectGossipTests.this.timers.at(SuspectGossipTests.this.now + LATENCY_MILLIS, (t) -> {
+			SuspectGossipTests.this.timers.schedule(SuspectGossipTests.this.now + LATENCY_MILLIS, (t) -> {
 				other.isReceiving = true;
 				reports.forEach((r) -> other.suspects.handleReport(r, t));
 				other.isReceiving = false;
--- a/laneworks-core/src/test/java/dev/laneworks/core/time/TimersTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/time/TimersTests.java
@@ -16,9 +16,9 @@
 	void runsDueTasksInOrderOfTimeAndThenOfScheduling() {
 		Timers timers = new Timers();
 		List<String> ran = new ArrayList<>();
-		timers.at(20, (t) -> ran.add("late"));
-		timers.at(10, (t) -> ran.add("first"));
-		timers.at(10, (t) -> ran.add("second"));
+		timers.schedule(20, (t) -> ran.add("late"));
+		timers.schedule(10, (t) -> ran.add("first"));
+		timers.schedule(10, (t) -> ran.add("second"));
 		assertThat(timers.nextDue()).isEqualTo(10);
 		timers.run(15);
 		assertThat(ran).containsExactly("first", "second").inOrder();
@@ -29,7 +29,7 @@
 	void runsTaskThatADueTaskSchedulesForNow() {
 		Timers timers = new Timers();
 		List<String> ran = new ArrayList<>();
-		timers.at(10, (t) -> timers.at(t, (u) -> ran.add("added")));
+		timers.schedule(10, (t) -> timers.schedule(t, (u) -> ran.add("added")));
 		timers.run(10);
 		assertThat(ran).containsExactly("added");
 		assertThat(timers.nextDue()).isEqualTo(Long.MAX_VALUE);
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -355,7 +355,7 @@
 
 	private void pollResumeGate(long now) {
 		if (this.resumeGate.isClosed(now)) {
-			this.loop.timers().at(now + POLL_INTERVAL_MILLIS, this::pollResumeGate);
+			this.loop.timers().schedule(now + POLL_INTERVAL_MILLIS, this::pollResumeGate);
 			return;
 		}
 		this.callers.releaseDeferred();
@@ -368,7 +368,7 @@
 		this.gauges = collectGauges(this.loop.now());
 		this.recentEntryCount = Math.max(this.peers.count() + 1, this.recentEntryCount - 1);
 		this.retries.allow(this.activeSettings.retryRatio(), this.activeSettings.ownRetryExtra(this.recentEntryCount));
-		this.loop.timers().at(this.loop.now() + RETRY_SHARE_INTERVAL_MILLIS, (t) -> updateRetryShare());
+		this.loop.timers().schedule(this.loop.now() + RETRY_SHARE_INTERVAL_MILLIS, (t) -> updateRetryShare());
 	}
 
 	private EntryGauges collectGauges(long now) {
@@ -393,7 +393,7 @@
 			LogLine.of("ready").with("targets", this.directory.size()).info();
 			return;
 		}
-		this.loop.timers().at(now + POLL_INTERVAL_MILLIS, (t) -> pollPlan(startedAt));
+		this.loop.timers().schedule(now + POLL_INTERVAL_MILLIS, (t) -> pollPlan(startedAt));
 	}
 
 	private void pollShutdown(long since, long now) {
@@ -408,7 +408,7 @@
 			}
 			return;
 		}
-		this.loop.timers().at(now + POLL_INTERVAL_MILLIS, (t) -> pollShutdown(since, t));
+		this.loop.timers().schedule(now + POLL_INTERVAL_MILLIS, (t) -> pollShutdown(since, t));
 	}
 
 	private Optional<WorkAtTarget> peerWork(TargetRun target) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlanAndTargets.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlanAndTargets.java
@@ -191,7 +191,7 @@
 						+ ", previously known up to revision " + StorePosition.of(knownRevision)));
 		this.directory.historyReplaced(now);
 		this.retainEvacuationsUntil = now + EVACUATION_RETENTION_MILLIS;
-		this.timers.at(this.retainEvacuationsUntil, this::endUnlistedEvacuations);
+		this.timers.schedule(this.retainEvacuationsUntil, this::endUnlistedEvacuations);
 	}
 
 	@Override
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -225,7 +225,7 @@
 		this.up = true;
 		for (String id : List.copyOf(this.lapsed.keySet())) {
 			String listedValue = this.lapsed.remove(id);
-			this.timers.at(this.now + this.random.nextInt(1_500), (t) -> write(id, listedValue));
+			this.timers.schedule(this.now + this.random.nextInt(1_500), (t) -> write(id, listedValue));
 		}
 	}
 
@@ -266,7 +266,7 @@
 		this.evacuated.addAll(this.backup.evacuated);
 		this.history.clear();
 		this.discardedUpTo = this.revision;
-		current.forEach((id, value) -> this.timers.at(this.now + this.random.nextInt(1_500), (t) -> {
+		current.forEach((id, value) -> this.timers.schedule(this.now + this.random.nextInt(1_500), (t) -> {
 			if (!this.rewritten.contains(id)) {
 				write(id, value);
 			}
@@ -274,12 +274,12 @@
 		this.backup.listed.keySet()
 			.stream()
 			.filter((id) -> !current.containsKey(id))
-			.forEach((id) -> this.timers.at(this.now + 2_400 + this.random.nextInt(1_200), (t) -> {
+			.forEach((id) -> this.timers.schedule(this.now + 2_400 + this.random.nextInt(1_200), (t) -> {
 				if (this.listed.containsKey(id) && !this.rewritten.contains(id)) {
 					unlist(id);
 				}
 			}));
-		this.timers.at(this.now + this.random.nextInt(1_000), (t) -> {
+		this.timers.schedule(this.now + this.random.nextInt(1_000), (t) -> {
 			requested.forEach(this::evacuate);
 			Set.copyOf(this.evacuated).stream().filter((d) -> !requested.contains(d)).forEach(this::endEvacuation);
 		});
@@ -341,7 +341,7 @@
 			for (int i = 0; isDelivered && i < ((this.random.nextInt(20) == 0) ? 2 : 1); i++) {
 				long delay = 1 + ((this.random.nextInt(1_000) < this.lateUpdatesPerMille) ? this.random.nextInt(400)
 						: this.random.nextInt(5));
-				this.timers.at(this.now + delay, (t) -> to.receive(from, news));
+				this.timers.schedule(this.now + delay, (t) -> to.receive(from, news));
 			}
 		}
 	}
@@ -449,7 +449,7 @@
 			}
 			if (news.kind() == StoreNews.Kind.QUESTION) {
 				this.reading.answer(news)
-					.ifPresent((a) -> MembershipSimulation.this.timers.at(MembershipSimulation.this.now + 2,
+					.ifPresent((a) -> MembershipSimulation.this.timers.schedule(MembershipSimulation.this.now + 2,
 							(t) -> from.receive(this, a)));
 				return;
 			}
@@ -519,7 +519,7 @@
 			answer(call, (t) -> {
 				List<StoreItem> all = MembershipSimulation.this.items();
 				long at = MembershipSimulation.this.revision;
-				MembershipSimulation.this.timers.at(t + 1 + MembershipSimulation.this.random.nextInt(30),
+				MembershipSimulation.this.timers.schedule(t + 1 + MembershipSimulation.this.random.nextInt(30),
 						(later) -> this.follower.get().pageRead(call, all, false, at, later));
 			});
 		}
@@ -552,7 +552,7 @@
 					: MembershipSimulation.this.history.stream().filter((c) -> c.revision() > since).toList();
 			if (!changes.isEmpty() || t >= end) {
 				long at = MembershipSimulation.this.watchesSilent ? since : MembershipSimulation.this.revision;
-				MembershipSimulation.this.timers.at(t + STORE_MILLIS,
+				MembershipSimulation.this.timers.schedule(t + STORE_MILLIS,
 						(later) -> this.follower.get().watched(call, changes, at, later));
 				return;
 			}
@@ -564,13 +564,13 @@
 				}
 			};
 			MembershipSimulation.this.waitingWatches.add(() -> retryOnce.accept(MembershipSimulation.this.now));
-			MembershipSimulation.this.timers.at(end, retryOnce::accept);
+			MembershipSimulation.this.timers.schedule(end, retryOnce::accept);
 		}
 
 		// Calls fail or stay unanswered while the store is down or rejects the entry.
 		private void answer(long call, Timers.TimedAction reply) {
 			MembershipSimulation.this.calls++;
-			MembershipSimulation.this.timers.at(MembershipSimulation.this.now + STORE_MILLIS, (t) -> {
+			MembershipSimulation.this.timers.schedule(MembershipSimulation.this.now + STORE_MILLIS, (t) -> {
 				if (MembershipSimulation.this.up && !this.entry.rejectedByStore) {
 					reply.run(t);
 				}
@@ -583,7 +583,7 @@
 		@Override
 		public void probe() {
 			MembershipSimulation.this.probes++;
-			MembershipSimulation.this.timers.at(MembershipSimulation.this.now + STORE_MILLIS, (t) -> {
+			MembershipSimulation.this.timers.schedule(MembershipSimulation.this.now + STORE_MILLIS, (t) -> {
 				if (MembershipSimulation.this.up && !this.entry.rejectedByStore && !this.entry.losesProbes) {
 					this.follower.get().probed(MembershipSimulation.this.revision, t);
 				}
