--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Offers.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Offers.java
@@ -9,8 +9,8 @@
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.mechanism.Mechanism;
 import dev.laneworks.core.serving.EngineSpec;
+import dev.laneworks.core.time.AdaptiveTimeout;
 import dev.laneworks.core.time.Timers;
-import dev.laneworks.core.time.UsualTime;
 import dev.laneworks.core.verdict.RefusalReason;
 import dev.laneworks.core.verdict.Verdict;
 
@@ -50,7 +50,7 @@
 	 * Learned connect timeout. Adapts to a process that is slow to handle its connections
 	 * after a start, so that it does not give up on reachable targets.
 	 */
-	private final UsualTime connectTime;
+	private final AdaptiveTimeout connectTimeout;
 
 	private final EngineAdmission admission = new EngineAdmission();
 
@@ -74,7 +74,7 @@
 		this.engines = engines;
 		this.entries = entries;
 		this.connectFailure = connectFailure;
-		this.connectTime = new UsualTime(settings.connectMillis(),
+		this.connectTimeout = new AdaptiveTimeout(settings.connectMillis(),
 				settings.mechanisms().use(Mechanism.LEARNED_CONNECT_LIMIT) ? MAX_CONNECT_MILLIS
 						: settings.connectMillis());
 		this.admissionEnabled = settings.mechanisms().use(Mechanism.ENGINE_ADMISSION);
@@ -143,12 +143,12 @@
 	// Sends a call to a target and starts the connect timeout.
 	Attempt begin(DirectCall call, ListedTarget target, Optional<ResumePoint> resume, long now) {
 		Attempt attempt = this.sender.send(call, target, this.engines.apply(call), resume, now);
-		this.timers.schedule(now + this.connectTime.limitMillis(), (t) -> handleConnectTimeout(call, attempt, t));
+		this.timers.schedule(now + this.connectTimeout.timeoutMillis(), (t) -> handleConnectTimeout(call, attempt, t));
 		return attempt;
 	}
 
 	void connected(Attempt attempt, long now) {
-		this.connectTime.took(now - attempt.begunAt());
+		this.connectTimeout.recordDuration(now - attempt.begunAt());
 	}
 
 	private void handleConnectTimeout(DirectCall call, Attempt attempt, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/UsualTime.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/AdaptiveTimeout.java
@@ -9,7 +9,7 @@
  *
  * @since 0.2
  */
-public final class UsualTime {
+public final class AdaptiveTimeout {
 
 	/** The weight of the latest duration in the smoothed one, from RFC 6298. */
 	private static final double SMOOTHING_WEIGHT = 0.125;
@@ -36,7 +36,7 @@
 	 * @param maxMillis the longest timeout, in milliseconds, which also applies before
 	 * the first duration
 	 */
-	public UsualTime(long minMillis, long maxMillis) {
+	public AdaptiveTimeout(long minMillis, long maxMillis) {
 		if (minMillis < 0 || maxMillis < minMillis) {
 			throw new IllegalArgumentException("minMillis must not be negative and maxMillis must not be below it");
 		}
@@ -48,7 +48,7 @@
 	 * Record a duration. One above the longest timeout counts as that.
 	 * @param millis the duration in milliseconds
 	 */
-	public void took(long millis) {
+	public void recordDuration(long millis) {
 		long duration = Math.min(millis, this.maxMillis);
 		if (!this.hasDuration) {
 			this.hasDuration = true;
@@ -64,7 +64,7 @@
 	 * Compute the current timeout.
 	 * @return the timeout in milliseconds
 	 */
-	public long limitMillis() {
+	public long timeoutMillis() {
 		if (!this.hasDuration) {
 			return this.maxMillis;
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/time/UsualTimeTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/time/UsualTimeTests.java
@@ -5,7 +5,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link UsualTime}.
+ * Tests for {@link AdaptiveTimeout}.
  */
 class UsualTimeTests {
 
@@ -13,39 +13,39 @@
 
 	private static final long MAX = 1_000;
 
-	private final UsualTime timeout = new UsualTime(MIN, MAX);
+	private final AdaptiveTimeout timeout = new AdaptiveTimeout(MIN, MAX);
 
 	@Test
 	void startsWithTheMaximum() {
-		assertThat(this.timeout.limitMillis()).isEqualTo(MAX);
+		assertThat(this.timeout.timeoutMillis()).isEqualTo(MAX);
 	}
 
 	@Test
 	void usesTheMinimumForShortDurations() {
-		this.timeout.took(3);
-		assertThat(this.timeout.limitMillis()).isEqualTo(MIN);
+		this.timeout.recordDuration(3);
+		assertThat(this.timeout.timeoutMillis()).isEqualTo(MIN);
 	}
 
 	@Test
 	void growsWithLongDurationsAndShrinksAgain() {
-		this.timeout.took(300);
-		assertThat(this.timeout.limitMillis()).isEqualTo(900);
-		this.timeout.took(700);
-		assertThat(this.timeout.limitMillis()).isEqualTo(MAX);
+		this.timeout.recordDuration(300);
+		assertThat(this.timeout.timeoutMillis()).isEqualTo(900);
+		this.timeout.recordDuration(700);
+		assertThat(this.timeout.timeoutMillis()).isEqualTo(MAX);
 		for (int i = 0; i < 20; i++) {
-			this.timeout.took(3);
+			this.timeout.recordDuration(3);
 		}
-		assertThat(this.timeout.limitMillis()).isEqualTo(MIN);
+		assertThat(this.timeout.timeoutMillis()).isEqualTo(MIN);
 	}
 
 	@Test
 	void recoversFromOneVeryLongDuration() {
-		this.timeout.took(100);
-		this.timeout.took(60_000);
+		this.timeout.recordDuration(100);
+		this.timeout.recordDuration(60_000);
 		for (int i = 0; i < 25; i++) {
-			this.timeout.took(100);
+			this.timeout.recordDuration(100);
 		}
-		assertThat(this.timeout.limitMillis()).isEqualTo(MIN);
+		assertThat(this.timeout.timeoutMillis()).isEqualTo(MIN);
 	}
 
 }
