--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/FollowOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/FollowOutputs.java
@@ -26,7 +26,7 @@
 
 	/**
 	 * Probe the store on a connection of its own, with the cheapest request that it
-	 * offers. Any answer except a rejection is reported to {@link StoreFollower#probed}
+	 * offers. Any answer except a rejection is reported to {@link StoreFollower#probeAnswered}
 	 * with the revision that it names. A failure is not reported.
 	 */
 	void probe();
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -227,7 +227,7 @@
 	 * @param at the revision of the store, which may be seconds old
 	 * @param now the current time in milliseconds
 	 */
-	public void probed(long at, long now) {
+	public void probeAnswered(long at, long now) {
 		boolean isBack = this.unreachable && this.silence.isSilent(now);
 		this.silence.recordContact(now);
 		if (!this.synced || this.delegated) {
@@ -247,7 +247,7 @@
 	 * call, because the answer to the open one may be lost or as old as the pause.
 	 * @param now the current time in milliseconds
 	 */
-	public void heldUp(long now) {
+	public void processResumed(long now) {
 		if (this.synced) {
 			this.delegated = false;
 			restartWatch(now);
@@ -268,7 +268,7 @@
 	 * @param number the number of the call
 	 * @param now the current time in milliseconds
 	 */
-	public void progressed(long number, long now) {
+	public void answerProgressed(long number, long now) {
 		this.call.recordProgress(number, now);
 	}
 
@@ -295,7 +295,7 @@
 	 * @param at the revision of the snapshot
 	 * @param now the current time in milliseconds
 	 */
-	public void adopt(List<StoreItem> items, long at, long now) {
+	public void applySnapshot(List<StoreItem> items, long at, long now) {
 		if (!this.synced) {
 			applyAll(items, at, now);
 		}
@@ -308,7 +308,7 @@
 	 * @param at the revision to continue from
 	 * @param now the current time in milliseconds
 	 */
-	public void watched(long number, List<StoreChange> changes, long at, long now) {
+	public void watchAnswered(long number, List<StoreChange> changes, long at, long now) {
 		if (!completeCall(number, now)) {
 			return;
 		}
@@ -326,7 +326,7 @@
 	 * @param update the update
 	 * @param now the current time in milliseconds
 	 */
-	public void told(StoreNews update, long now) {
+	public void updateReceived(StoreNews update, long now) {
 		this.silence.recordContact(now);
 		if (update.returning()) {
 			reportRecovery(now);
@@ -423,7 +423,7 @@
 	 * @param number the number of the call
 	 * @param now the current time in milliseconds
 	 */
-	public void historyGone(long number, long now) {
+	public void historyCompacted(long number, long now) {
 		if (completeCall(number, now)) {
 			this.call.schedule(now + this.backoff.spread(this.settings.gapMillis()), this::readAll);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
@@ -105,7 +105,7 @@
 		StoreChange change = this.history.get(this.history.size() - 1);
 		StoreNews update = new StoreNews("other", "elsewhere", written - 1, written, List.of(change), false,
 				StoreNews.Kind.READ);
-		this.processes.forEach((p) -> p.follower.told(update, this.now));
+		this.processes.forEach((p) -> p.follower.updateReceived(update, this.now));
 	}
 
 	private void advanceTransfers(long millis) {
@@ -120,7 +120,7 @@
 				this.timers.schedule(this.now, transfer.onComplete);
 			}
 			else if (transfer.sent >= PART_BYTES) {
-				queued.getKey().follower.progressed(transfer.call, this.now);
+				queued.getKey().follower.answerProgressed(transfer.call, this.now);
 			}
 		}
 	}
@@ -198,7 +198,7 @@
 			long at = LargeItemSimulation.this.revision;
 			boolean isLarge = changes.stream().anyMatch((c) -> c.key().equals(LARGE_KEY));
 			send(changes.size() * SMALL_BYTES + (isLarge ? LargeItemSimulation.this.largeBytes : 0),
-					(t) -> this.follower.watched(number, changes, at, t));
+					(t) -> this.follower.watchAnswered(number, changes, at, t));
 		}
 
 		private void begin(long number) {
@@ -227,7 +227,7 @@
 		@Override
 		public void probe() {
 			LargeItemSimulation.this.timers.schedule(LargeItemSimulation.this.now + STEP_MILLIS,
-					(t) -> this.follower.probed(LargeItemSimulation.this.revision, t));
+					(t) -> this.follower.probeAnswered(LargeItemSimulation.this.revision, t));
 		}
 
 		@Override
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
@@ -63,7 +63,7 @@
 	@Test
 	void watchesFromTheRevisionOfEachAnswerAndFetchesASeriesOfChangesTogether() {
 		startWatching();
-		this.follower.watched(this.lastCall, List.of(change("a")), 105, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(change("a")), 105, 20);
 		assertThat(this.events).contains("changed [a]");
 		assertThat(this.calls).doesNotContain("watch 105 4000");
 		this.timers.run(70);
@@ -76,7 +76,7 @@
 		long old = this.lastCall;
 		this.timers.run(4_800);
 		assertThat(this.calls).contains("abandon");
-		this.follower.watched(old, List.of(change("late")), 300, 4_900);
+		this.follower.watchAnswered(old, List.of(change("late")), 300, 4_900);
 		assertThat(this.events).doesNotContain("changed [late]");
 	}
 
@@ -87,7 +87,7 @@
 		this.timers.run(1_200);
 		this.follower.failed(this.lastCall, "refused", 1_210);
 		this.timers.run(2_000);
-		this.follower.watched(this.lastCall, List.of(change("x")), 130, 2_010);
+		this.follower.watchAnswered(this.lastCall, List.of(change("x")), 130, 2_010);
 		assertThat(this.events).containsExactly("all [a]", "lost refused", "regained 2005", "changed [x]").inOrder();
 	}
 
@@ -102,7 +102,7 @@
 	@Test
 	void readsAllItemsAgainWhenTheHistoryIsGone() {
 		startWatching();
-		this.follower.historyGone(this.lastCall, 1_000);
+		this.follower.historyCompacted(this.lastCall, 1_000);
 		this.timers.run(1_100);
 		assertThat(this.calls.get(this.calls.size() - 1)).isEqualTo("page ");
 		this.follower.pageRead(this.lastCall, List.of(item("z")), false, 500, 1_110);
@@ -113,7 +113,7 @@
 	@Test
 	void appliesAChangeReceivedDuringANewReadAndKeepsItOverOlderPages() {
 		startWatching();
-		this.follower.historyGone(this.lastCall, 1_000);
+		this.follower.historyCompacted(this.lastCall, 1_000);
 		this.timers.run(1_100);
 		deliver(lowerRanked(), 99, 100, 1_110, change("a", 100));
 		deliver(lowerRanked(), 503, 504, 1_120, removed("b", 504));
@@ -126,7 +126,7 @@
 	@Test
 	void ignoresPagesOlderThanAnAdoptedSnapshot() {
 		this.follower.start(0);
-		this.follower.adopt(List.of(item("a")), 120, 5);
+		this.follower.applySnapshot(List.of(item("a")), 120, 5);
 		this.follower.pageRead(this.lastCall, List.of(item("a"), item("b")), false, 110, 10);
 		assertThat(this.events).containsExactly("all [a]");
 		assertThat(this.calls.get(this.calls.size() - 1)).isEqualTo("watch 120 4000");
@@ -136,7 +136,7 @@
 	void reportsChangesThatOnlyANewReadFound() {
 		startWatching();
 		deliver(lowerRanked(), 150, 160, 500, change("heard", 160));
-		this.follower.historyGone(this.lastCall, 1_000);
+		this.follower.historyCompacted(this.lastCall, 1_000);
 		this.timers.run(1_100);
 		this.follower.pageRead(this.lastCall, List.of(item("b"), item("heard")), false, 500, 1_110);
 		assertThat(this.missed).containsExactly(removed("a", 500), change("b", 500)).inOrder();
@@ -146,7 +146,7 @@
 	void doesNotReportAKeyAsMissedIfALaterChangeIsKnown() {
 		startWatching();
 		deliver(lowerRanked(), 600, 601, 500, removed("a", 601));
-		this.follower.historyGone(this.lastCall, 1_000);
+		this.follower.historyCompacted(this.lastCall, 1_000);
 		this.timers.run(1_100);
 		this.follower.pageRead(this.lastCall, List.of(item("a")), false, 500, 1_110);
 		assertThat(this.missed).isEmpty();
@@ -158,7 +158,7 @@
 		deliver(lowerRanked(), 150, 160, 500, change("x", 160));
 		deliver(lowerRanked(), 170, 180, 510, change("y", 180));
 		assertThat(this.behindReports).containsExactly("100 to 160");
-		this.follower.watched(this.lastCall, List.of(change("x", 160), change("y", 180)), 180, 600);
+		this.follower.watchAnswered(this.lastCall, List.of(change("x", 160), change("y", 180)), 180, 600);
 		deliver(lowerRanked(), 190, 200, 700, change("z", 200));
 		assertThat(this.behindReports).containsExactly("100 to 160", "180 to 200").inOrder();
 	}
@@ -171,7 +171,7 @@
 		startWatching();
 		this.listenerFails = true;
 		assertThrows(IllegalStateException.class,
-				() -> this.follower.watched(this.lastCall, List.of(change("b", 101)), 101, 1_000));
+				() -> this.follower.watchAnswered(this.lastCall, List.of(change("b", 101)), 101, 1_000));
 		this.listenerFails = false;
 		this.timers.run(3_000);
 		assertThat(this.calls.get(this.calls.size() - 1)).isEqualTo("page ");
@@ -180,7 +180,7 @@
 		this.listenerFails = true;
 		this.timers.run(3_100);
 		assertThrows(IllegalStateException.class,
-				() -> this.follower.watched(this.lastCall, List.of(change("c", 102)), 102, 3_200));
+				() -> this.follower.watchAnswered(this.lastCall, List.of(change("c", 102)), 102, 3_200));
 		this.timers.run(6_000);
 		assertThat(this.calls.get(this.calls.size() - 1)).isEqualTo("page ");
 	}
@@ -201,7 +201,7 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(higherRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(change("a", 101)), 101, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101)), 101, 20);
 		deliver(higherRanked(), 100, 102, 30, change("a", 101), change("b", 102));
 		this.timers.run(400);
 		assertThat(this.calls).containsExactly("page ", "watch 100 700");
@@ -213,7 +213,7 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(higherRanked(), 100, 105, 10, change("a", 105));
-		this.follower.watched(this.lastCall, List.of(), 105, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 105, 20);
 		this.timers.run(480);
 		assertThat(this.calls).hasSize(2);
 		this.timers.run(560);
@@ -225,12 +225,12 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(higherRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(100);
 		assertThat(this.calls).hasSize(2);
 		deliver(higherRanked(), 103, 104, 110, change("b", 104));
 		assertThat(this.calls.get(2)).isEqualTo("watch 100 700");
-		this.follower.watched(this.lastCall, List.of(change("a", 102), change("b", 104)), 104, 130);
+		this.follower.watchAnswered(this.lastCall, List.of(change("a", 102), change("b", 104)), 104, 130);
 		assertThat(this.events).containsExactly("all [a]", "changed [b]", "changed [a]").inOrder();
 	}
 
@@ -239,7 +239,7 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(lowerRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(change("a", 101)), 101, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101)), 101, 20);
 		this.timers.run(150);
 		assertThat(this.calls.get(2)).isEqualTo("watch 101 700");
 		assertThat(this.sent).containsExactly(
@@ -260,7 +260,7 @@
 	@Test
 	void skipsKnownChanges() {
 		startWatching();
-		this.follower.watched(this.lastCall, List.of(change("old", 100), change("new", 101)), 101, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(change("old", 100), change("new", 101)), 101, 20);
 		assertThat(this.events).contains("changed [new]");
 	}
 
@@ -269,7 +269,7 @@
 		this.otherCount = 2;
 		startWatching();
 		deliver(higherRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(100);
 		assertThat(this.calls.get(2)).isEqualTo("watch 100 4000");
 		assertThat(this.sent).isEmpty();
@@ -287,10 +287,10 @@
 	@Test
 	void reportsTheStoresReturnBeforeUpdatesFromOthersUnlessItsOwnWatchWorks() {
 		startWatching();
-		this.follower.told(afterOutage(100, 101, change("a", 101)), 100);
+		this.follower.updateReceived(afterOutage(100, 101, change("a", 101)), 100);
 		this.follower.failed(this.lastCall, "no answer", 1_000);
-		this.follower.told(afterOutage(101, 102, change("b", 102)), 5_000);
-		this.follower.told(afterOutage(102, 103, change("c", 103)), 5_500);
+		this.follower.updateReceived(afterOutage(101, 102, change("b", 102)), 5_000);
+		this.follower.updateReceived(afterOutage(102, 103, change("c", 103)), 5_500);
 		assertThat(this.events)
 			.containsExactly("all [a]", "changed [a]", "lost no answer", "recovery reported", "changed [b]",
 					"changed [c]")
@@ -302,12 +302,12 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(higherRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		for (long now = 150; now <= 3_000; now += 150) {
 			this.timers.run(now);
 			deliver(higherRanked(), 100, 100, now);
 		}
-		this.follower.told(afterOutage(100, 101, change("a", 101)), 3_010);
+		this.follower.updateReceived(afterOutage(100, 101, change("a", 101)), 3_010);
 		assertThat(this.events).containsExactly("all [a]", "changed [a]").inOrder();
 	}
 
@@ -316,9 +316,9 @@
 		startWatching();
 		this.follower.failed(this.lastCall, "refused", 1_000);
 		this.timers.run(1_200);
-		this.follower.watched(this.lastCall, List.of(change("b", 101)), 101, 1_210);
+		this.follower.watchAnswered(this.lastCall, List.of(change("b", 101)), 101, 1_210);
 		this.timers.run(1_300);
-		this.follower.watched(this.lastCall, List.of(change("c", 102)), 102, 3_210);
+		this.follower.watchAnswered(this.lastCall, List.of(change("c", 102)), 102, 3_210);
 		assertThat(this.sent.stream().map(StoreNews::returning).toList()).containsExactly(true, false).inOrder();
 	}
 
@@ -328,7 +328,7 @@
 		startWatching();
 		String reader = ranked(SharedReading.ALL_GROUPS, true);
 		deliverFromOtherGroup(reader, StoreNews.Kind.READ, 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(140);
 		deliverFromOtherGroup(reader, StoreNews.Kind.READ, 100, 101, 145, change("a", 101));
 		this.timers.run(300);
@@ -345,7 +345,7 @@
 		startWatching();
 		deliverFromOtherGroup(ranked(SharedReading.ALL_GROUPS, false), StoreNews.Kind.READ, 100, 100, 10);
 		deliverFromOtherGroup(ranked(SharedReading.ALL_GROUPS, true), StoreNews.Kind.PASSED_ON, 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(100);
 		assertThat(this.calls.get(2)).isEqualTo("watch 100 700");
 	}
@@ -355,7 +355,7 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(higherRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(80);
 		this.sent.clear();
 		deliverFromOtherGroup(ranked(SharedReading.ALL_GROUPS, true), StoreNews.Kind.READ, 100, 101, 90,
@@ -371,12 +371,12 @@
 		assertThat(this.probes).isEqualTo(0);
 		this.timers.run(450);
 		assertThat(this.probes).isEqualTo(1);
-		this.follower.probed(100, 455);
+		this.follower.probeAnswered(100, 455);
 		assertThat(this.follower.isSilent(1_015)).isFalse();
 		this.timers.run(900);
 		assertThat(this.probes).isEqualTo(2);
 		assertThat(this.follower.isSilent(1_016)).isTrue();
-		this.follower.watched(this.lastCall, List.of(), 100, 1_100);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 1_100);
 		assertThat(this.follower.isSilent(1_101)).isFalse();
 	}
 
@@ -396,7 +396,7 @@
 	void sendsItsOwnReadsToOtherGroups() {
 		this.otherCount = 3;
 		startWatching();
-		this.follower.watched(this.lastCall, List.of(change("a", 101)), 101, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101)), 101, 20);
 		assertThat(this.sentToOtherGroups)
 			.containsExactly(new StoreNews("me", "z", 100, 101, List.of(change("a", 101)), false, StoreNews.Kind.READ));
 	}
@@ -419,14 +419,14 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(higherRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(200);
 		deliver(higherRanked(), 100, 101, 210);
 		int own = this.calls.size();
 		deliver(higherRanked(), 101, 102, 220, change("b", 102));
 		assertThat(this.events).containsExactly("all [a]", "changed [b]").inOrder();
 		assertThat(this.calls.get(own - 1)).isEqualTo("watch 100 700");
-		this.follower.watched(this.lastCall, List.of(change("plan", 101), change("b", 102)), 102, 400);
+		this.follower.watchAnswered(this.lastCall, List.of(change("plan", 101), change("b", 102)), 102, 400);
 		assertThat(this.events).containsExactly("all [a]", "changed [b]", "changed [plan]").inOrder();
 	}
 
@@ -435,12 +435,12 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(higherRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(200);
 		StoreChange large = new StoreChange("plan", Optional.of(new StoreItem("plan", "x".repeat(50))), 101);
 		StoreNews all = new StoreNews(higherRanked(), "z", 100, 102, List.of(large, change("b", 102)), false,
 				StoreNews.Kind.READ);
-		this.follower.told(all.withoutLargeChanges(20), 210);
+		this.follower.updateReceived(all.withoutLargeChanges(20), 210);
 		assertThat(this.events).containsExactly("all [a]", "changed [b]").inOrder();
 		assertThat(this.calls.get(this.calls.size() - 1)).isEqualTo("watch 100 700");
 	}
@@ -455,7 +455,7 @@
 		}
 		assertThat(this.restarts).containsExactly("1 after 300", "2 after 600").inOrder();
 		assertThat(this.follower.behindMillis(1_500)).isEqualTo(1_000);
-		this.follower.watched(this.lastCall, List.of(change("x", 160)), 2_000, 1_510);
+		this.follower.watchAnswered(this.lastCall, List.of(change("x", 160)), 2_000, 1_510);
 		assertThat(this.follower.behindMillis(1_520)).isEqualTo(0);
 	}
 
@@ -464,7 +464,7 @@
 		startWatching();
 		deliver(lowerRanked(), 150, 160, 500, change("x", 160));
 		for (long now = 600; now <= 9_000; now += 200) {
-			this.follower.progressed(this.lastCall, now);
+			this.follower.answerProgressed(this.lastCall, now);
 			this.timers.run(now);
 		}
 		assertThat(this.calls).doesNotContain("abandon");
@@ -475,7 +475,7 @@
 	@Test
 	void answersARequestOnlyForChangesThatItHas() {
 		startWatching();
-		this.follower.watched(this.lastCall, List.of(change("a", 101), change("b", 103)), 103, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101), change("b", 103)), 103, 20);
 		assertThat(this.reading.answer(request(101))).isEqualTo(
 				Optional.of(new StoreNews("me", "z", 101, 103, List.of(change("b", 103)), false, StoreNews.Kind.READ)));
 		assertThat(this.reading.answer(request(99))).isEqualTo(Optional.empty());
@@ -486,7 +486,7 @@
 	void answersARequestWithChangesReceivedFromOthers() {
 		startWatching();
 		deliver(lowerRanked(), 100, 101, 20, change("a", 101));
-		this.follower.watched(this.lastCall, List.of(change("a", 101), change("b", 102)), 102, 30);
+		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101), change("b", 102)), 102, 30);
 		assertThat(this.reading.answer(request(100)).map(StoreNews::to)).isEqualTo(Optional.of(102L));
 		assertThat(this.reading.answer(request(100)).map((n) -> n.changes().get(0).key())).isEqualTo(Optional.of("a"));
 	}
@@ -498,12 +498,12 @@
 		startWatching();
 		long previous = this.lastCall;
 		this.calls.clear();
-		this.follower.heldUp(5_000);
+		this.follower.processResumed(5_000);
 		assertThat(this.calls).containsExactly("abandon", "watch 100 60").inOrder();
 		this.events.clear();
-		this.follower.watched(previous, List.of(change("late")), 101, 5_001);
+		this.follower.watchAnswered(previous, List.of(change("late")), 101, 5_001);
 		assertThat(this.events).isEmpty();
-		this.follower.watched(this.lastCall, List.of(change("b")), 101, 5_004);
+		this.follower.watchAnswered(this.lastCall, List.of(change("b")), 101, 5_004);
 		assertThat(this.events).containsExactly("changed [b]");
 		assertThat(this.follower.ageMillis(5_004)).isEqualTo(0);
 	}
@@ -513,10 +513,10 @@
 		this.otherCount = 3;
 		startWatching();
 		deliver(higherRanked(), 100, 100, 10);
-		this.follower.watched(this.lastCall, List.of(), 100, 20);
+		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(90);
 		this.calls.clear();
-		this.follower.heldUp(5_000);
+		this.follower.processResumed(5_000);
 		assertThat(this.calls).containsExactly("abandon", "watch 100 60").inOrder();
 	}
 
@@ -564,7 +564,7 @@
 			StoreChange... changes) {
 		StoreNews update = new StoreNews(reader, "y", from, to, List.of(changes), false, kind);
 		this.reading.heard(update, now);
-		this.follower.told(update, now);
+		this.follower.updateReceived(update, now);
 	}
 
 	private static StoreNews forwarded(long from, long to, StoreChange... changes) {
@@ -582,7 +582,7 @@
 	private void deliver(String reader, long from, long to, long now, StoreChange... changes) {
 		StoreNews update = new StoreNews(reader, "z", from, to, List.of(changes), false, StoreNews.Kind.READ);
 		this.reading.heard(update, now);
-		this.follower.told(update, now);
+		this.follower.updateReceived(update, now);
 	}
 
 	private final class Calls implements FollowOutputs {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -213,7 +213,7 @@
 		this.peers.useSnapshotTransfer(this.snapshots);
 		this.inquiry = new EngineInquiry(this.store, this.peers, this.beliefs, adapter.engines(), this.loop,
 				this.audit);
-		this.peers.onStoreUpdate((n) -> this.store.follower().told(n, this.loop.now()));
+		this.peers.onStoreUpdate((n) -> this.store.follower().updateReceived(n, this.loop.now()));
 		this.resumeGate = new ResumeGate(this.store.follower()::ageMillis);
 		this.loop.onPause(this::paused);
 		this.callers = new DirectServer(this.io, settings.callers(), calls, adapter.headers(),
@@ -348,7 +348,7 @@
 						+ this.dispatcher.openCalls() + " open calls"
 						+ (isGateClosed ? "; requests wait until the store answers" : "")));
 		if (isGateClosed) {
-			this.store.follower().heldUp(now);
+			this.store.follower().processResumed(now);
 			pollResumeGate(now);
 		}
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -77,7 +77,7 @@
 		StoreSnapshot snapshot = result.state();
 		this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_SERVICE, "store", "", "unreachable; adopted revision "
 				+ StorePosition.of(snapshot.revision()) + " from " + result.from() + ", " + snapshot.ageMillis() + " ms old"));
-		this.follower.adopt(snapshot.items(), snapshot.revision(), this.loop.now());
+		this.follower.applySnapshot(snapshot.items(), snapshot.revision(), this.loop.now());
 	}
 
 }
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -427,7 +427,7 @@
 				.stream()
 				.map((i) -> new StoreItem(i.key(), i.value()))
 				.toList();
-			this.store.follower().adopt(snapshot, at, MembershipSimulation.this.now);
+			this.store.follower().applySnapshot(snapshot, at, MembershipSimulation.this.now);
 		}
 
 		// Return the start time of the known incarnation of each target.
@@ -454,7 +454,7 @@
 				return;
 			}
 			this.reading.heard(news, MembershipSimulation.this.now);
-			this.store.follower().told(news, MembershipSimulation.this.now);
+			this.store.follower().updateReceived(news, MembershipSimulation.this.now);
 		}
 
 		@Override
@@ -545,7 +545,7 @@
 				return;
 			}
 			if (since < MembershipSimulation.this.discardedUpTo) {
-				this.follower.get().historyGone(call, t);
+				this.follower.get().historyCompacted(call, t);
 				return;
 			}
 			List<StoreChange> changes = MembershipSimulation.this.watchesSilent ? List.of()
@@ -553,7 +553,7 @@
 			if (!changes.isEmpty() || t >= end) {
 				long at = MembershipSimulation.this.watchesSilent ? since : MembershipSimulation.this.revision;
 				MembershipSimulation.this.timers.schedule(t + STORE_MILLIS,
-						(later) -> this.follower.get().watched(call, changes, at, later));
+						(later) -> this.follower.get().watchAnswered(call, changes, at, later));
 				return;
 			}
 			boolean[] isAnswered = new boolean[1];
@@ -585,7 +585,7 @@
 			MembershipSimulation.this.probes++;
 			MembershipSimulation.this.timers.schedule(MembershipSimulation.this.now + STORE_MILLIS, (t) -> {
 				if (MembershipSimulation.this.up && !this.entry.rejectedByStore && !this.entry.losesProbes) {
-					this.follower.get().probed(MembershipSimulation.this.revision, t);
+					this.follower.get().probeAnswered(MembershipSimulation.this.revision, t);
 				}
 			});
 		}
