--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedReading.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedWatch.java
@@ -23,17 +23,17 @@
  * turn stops in favour of a higher-ranked watcher of another group and forwards that
  * one's updates to its own group. The number of calls to the store therefore does not
  * grow with the number of groups, and an update between groups is sent to
- * {@value #TOLD_IN_EACH_GROUP} processes of each. There is no election: two watchers at
+ * {@value #RECEIVERS_PER_GROUP} processes of each. There is no election: two watchers at
  * once only cost additional calls. Changes are sent to the own group even where each
  * process watches for itself, so that a process that the store rejects still receives
  * them. It can also request the changes that it missed. Not thread-safe.
  *
  * @since 0.2
  */
-public final class SharedReading {
+public final class SharedWatch {
 
 	/** The interval between heartbeats of a watcher, in milliseconds. */
-	public static final long SIGN_MILLIS = 150;
+	public static final long HEARTBEAT_MILLIS = 150;
 
 	/**
 	 * How long after its last message a watcher counts as gone, in milliseconds;
@@ -51,7 +51,7 @@
 	 * The number of processes of each other group that receive a watcher's updates: the
 	 * one that forwards them, and its successor.
 	 */
-	public static final int TOLD_IN_EACH_GROUP = 2;
+	public static final int RECEIVERS_PER_GROUP = 2;
 
 	/** The key by which the watchers of all groups are ranked. */
 	static final String ALL_GROUPS = "all groups";
@@ -102,10 +102,10 @@
 	 * @param group the name of its group
 	 * @param otherCount returns the number of other known processes of the group
 	 * @param localSender sends an update to the other processes of the group
-	 * @param remoteSender sends an update to the {@link #TOLD_IN_EACH_GROUP} processes of
+	 * @param remoteSender sends an update to the {@link #RECEIVERS_PER_GROUP} processes of
 	 * each other group with the highest {@link #rank}
 	 */
-	public SharedReading(String instance, String group, IntSupplier otherCount, Consumer<StoreNews> localSender,
+	public SharedWatch(String instance, String group, IntSupplier otherCount, Consumer<StoreNews> localSender,
 			Consumer<StoreNews> remoteSender) {
 		this.instance = Objects.requireNonNull(instance, "instance must not be null");
 		this.group = Objects.requireNonNull(group, "group must not be null");
@@ -133,7 +133,7 @@
 	 * @param update the update received from it
 	 * @param now the current time in milliseconds
 	 */
-	public void heard(StoreNews update, long now) {
+	public void recordUpdate(StoreNews update, long now) {
 		if (update.reader().equals(this.instance)) {
 			return;
 		}
@@ -161,7 +161,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code false} if there is no watcher of higher rank, or if it is behind
 	 */
-	public boolean isServed(long revision, long now) {
+	public boolean isServedByOther(long revision, long now) {
 		if (!isShared()) {
 			return false;
 		}
@@ -175,7 +175,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code false} if one of higher rank does, or if the group is small
 	 */
-	public boolean isFirstOfGroup(long now) {
+	public boolean isGroupSender(long now) {
 		return isShared() && !isAnyRankedHigher(this.localWatchers, this.groupKey, Long.MIN_VALUE, now);
 	}
 
@@ -198,7 +198,7 @@
 	 * @param revision the revision known to this process
 	 * @param now the current time in milliseconds
 	 */
-	public void ask(long revision, long now) {
+	public void requestMissed(long revision, long now) {
 		if (now - this.requestedAt >= REQUEST_INTERVAL_MILLIS) {
 			this.requestedAt = now;
 			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreNews.Kind.QUESTION));
@@ -211,7 +211,7 @@
 	 * @return all changes after the revision known to the requester, or empty if this
 	 * process does not have them
 	 */
-	public Optional<StoreNews> answer(StoreNews request) {
+	public Optional<StoreNews> createAnswer(StoreNews request) {
 		if (request.kind() != StoreNews.Kind.QUESTION || this.recorded.isEmpty() || request.from() < this.recordedFrom
 				|| request.from() >= this.recordedTo) {
 			return Optional.empty();
@@ -227,7 +227,7 @@
 	 * @param changes the changes between the two revisions; empty for a heartbeat
 	 * @param returning whether the store was unreachable until recently
 	 */
-	public void tell(long from, long to, List<StoreChange> changes, boolean returning) {
+	public void sendChanges(long from, long to, List<StoreChange> changes, boolean returning) {
 		recordChanges(from, to, changes);
 		StoreNews readUpdate = createUpdate(from, to, changes, returning, StoreNews.Kind.READ);
 		if (isShared() || !changes.isEmpty()) {
@@ -246,7 +246,7 @@
 	 * @param missed the differences; if empty, nothing is sent
 	 * @param returning whether the store was unreachable until recently
 	 */
-	public void tellMissed(long at, List<StoreChange> missed, boolean returning) {
+	public void sendMissed(long at, List<StoreChange> missed, boolean returning) {
 		if (missed.isEmpty()) {
 			return;
 		}
@@ -263,9 +263,9 @@
 	 * @param received the update
 	 * @param now the current time in milliseconds
 	 */
-	public void passOn(StoreNews received, long now) {
+	public void forward(StoreNews received, long now) {
 		boolean isFromWatcher = !isFromOwnGroup(received) && received.kind() == StoreNews.Kind.READ;
-		if (isFromWatcher && !received.changes().isEmpty() && isFirstOfGroup(now)) {
+		if (isFromWatcher && !received.changes().isEmpty() && isGroupSender(now)) {
 			if (received.to() != this.recordedTo) {
 				recordChanges(received.from(), received.to(), received.changes());
 			}
@@ -280,8 +280,8 @@
 	 * @param revision the revision known to this process
 	 * @param now the current time in milliseconds
 	 */
-	public void passOnSign(long revision, long now) {
-		if (isFirstOfGroup(now)) {
+	public void forwardHeartbeat(long revision, long now) {
+		if (isGroupSender(now)) {
 			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreNews.Kind.PASSED_ON));
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -65,7 +65,7 @@
 
 	private final Backoff backoff;
 
-	private final SharedReading reading;
+	private final SharedWatch watch;
 
 	private final List<StoreItem> pageItems = new ArrayList<>();
 
@@ -117,17 +117,17 @@
 	 * @param listener receives the items and changes
 	 * @param timers schedules timeouts and later calls
 	 * @param backoff the delays after failed calls
-	 * @param reading shares the watch with other processes
+	 * @param watch shares the watch with other processes
 	 */
 	public StoreFollower(FollowSettings settings, FollowOutputs outputs, FollowListener listener, Timers timers,
-			Backoff backoff, SharedReading reading) {
+			Backoff backoff, SharedWatch watch) {
 		this.settings = settings;
 		this.outputs = outputs;
 		this.listener = listener;
 		this.timers = timers;
 		this.call = new CallTracker(timers);
 		this.backoff = backoff;
-		this.reading = reading;
+		this.watch = watch;
 	}
 
 	/**
@@ -190,7 +190,7 @@
 		// Items that an older copy of the store lacks are not reported as removed. Other
 		// processes read the copy themselves.
 		if (!isOtherEra) {
-			this.reading.tellMissed(at, missed, isRecovering(now));
+			this.watch.sendMissed(at, missed, isRecovering(now));
 		}
 	}
 
@@ -315,7 +315,7 @@
 		long before = this.cache.revision();
 		applyChanges(changes, at, now);
 		if (this.cache.revision() > before) {
-			this.reading.tell(before, this.cache.revision(), changes, isRecovering(now));
+			this.watch.sendChanges(before, this.cache.revision(), changes, isRecovering(now));
 		}
 		long next = Math.max(now, this.call.watchStartedAt() + this.settings.gapMillis());
 		this.call.schedule(next, this::watchUnlessDelegated);
@@ -343,20 +343,20 @@
 		if (isComplete) {
 			applyChanges(update.changes(), update.to(), now);
 			if (this.cache.revision() > revision) {
-				this.reading.recordChanges(revision, this.cache.revision(), update.changes());
+				this.watch.recordChanges(revision, this.cache.revision(), update.changes());
 			}
 			forwardIfNew(update, revision, now);
 			return;
 		}
 		reportBehind(update.to(), now);
 		applyOutOfOrder(update.changes(), now);
-		this.reading.passOn(update, now);
+		this.watch.forward(update, now);
 		if (this.delegated) {
 			this.delegated = false;
 			watch(now);
 		}
 		else if (this.unreachable) {
-			this.reading.ask(revision, now);
+			this.watch.requestMissed(revision, now);
 		}
 		else {
 			expectChange(now);
@@ -406,7 +406,7 @@
 	// An update that changes nothing here was forwarded before.
 	private void forwardIfNew(StoreNews update, long before, long now) {
 		if (this.cache.revision() > before) {
-			this.reading.passOn(update, now);
+			this.watch.forward(update, now);
 		}
 	}
 
@@ -494,7 +494,7 @@
 
 	// Whether the store is unreachable, or the answer to the watch is overdue.
 	private boolean isStoreOverdue(long now) {
-		return this.unreachable || this.call.isWatchOverdue(SharedReading.SIGN_MILLIS, now);
+		return this.unreachable || this.call.isWatchOverdue(SharedWatch.HEARTBEAT_MILLIS, now);
 	}
 
 	// Changes applied before are skipped, since an update may arrive twice or late.
@@ -514,7 +514,7 @@
 
 	// A watching process counts as an answer from the store.
 	private void watchUnlessDelegated(long now) {
-		this.delegated = this.reading.isServed(this.cache.revision(), now);
+		this.delegated = this.watch.isServedByOther(this.cache.revision(), now);
 		if (!this.delegated) {
 			watch(now);
 			return;
@@ -525,14 +525,14 @@
 	}
 
 	private void heartbeat(long now) {
-		this.timers.schedule(now + SharedReading.SIGN_MILLIS, this::heartbeat);
+		this.timers.schedule(now + SharedWatch.HEARTBEAT_MILLIS, this::heartbeat);
 		readAgainIfStalled(now);
 		probeIfDue(now);
 		if (this.synced && this.call.isOpen() && !isStoreOverdue(now) && !isSilent(now)) {
-			this.reading.tell(this.cache.revision(), this.cache.revision(), List.of(), isRecovering(now));
+			this.watch.sendChanges(this.cache.revision(), this.cache.revision(), List.of(), isRecovering(now));
 		}
 		else if (this.delegated) {
-			this.reading.passOnSign(this.cache.revision(), now);
+			this.watch.forwardHeartbeat(this.cache.revision(), now);
 		}
 	}
 
@@ -580,7 +580,7 @@
 	}
 
 	private long watchWaitMillis() {
-		return this.reading.isShared() ? Math.min(SHARED_WAIT_MILLIS, this.settings.waitMillis())
+		return this.watch.isShared() ? Math.min(SHARED_WAIT_MILLIS, this.settings.waitMillis())
 				: this.settings.waitMillis();
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
@@ -158,12 +158,12 @@
 		private long watchedRevision = Long.MAX_VALUE;
 
 		Process(String name, SplittableRandom random) {
-			SharedReading reading = new SharedReading(name, "z", () -> 0, (n) -> {
+			SharedWatch watch = new SharedWatch(name, "z", () -> 0, (n) -> {
 			}, (n) -> {
 			});
 			this.follower = new StoreFollower(new FollowSettings(4_000, 700, 60), this, new Listener(this),
 					LargeItemSimulation.this.timers, new Backoff(Duration.ofMillis(80), Duration.ofMillis(800), random),
-					reading);
+					watch);
 		}
 
 		@Override
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
@@ -45,11 +45,11 @@
 
 	private int probes;
 
-	private final SharedReading reading = new SharedReading("me", "z", () -> this.otherCount, this.sent::add,
+	private final SharedWatch watch = new SharedWatch("me", "z", () -> this.otherCount, this.sent::add,
 			this.sentToOtherGroups::add);
 
 	private final StoreFollower follower = new StoreFollower(SETTINGS, new Calls(), new Listener(), this.timers,
-			new Backoff(Duration.ofMillis(100), Duration.ofMillis(800), new SplittableRandom(1)), this.reading);
+			new Backoff(Duration.ofMillis(100), Duration.ofMillis(800), new SplittableRandom(1)), this.watch);
 
 	@Test
 	void readsAllPagesAndWatchesFromTheFirstPagesRevision() {
@@ -326,7 +326,7 @@
 	void stopsWatchingForAHigherRankedWatcherOfAnotherGroupAndForwardsItsUpdates() {
 		this.otherCount = 3;
 		startWatching();
-		String reader = ranked(SharedReading.ALL_GROUPS, true);
+		String reader = ranked(SharedWatch.ALL_GROUPS, true);
 		deliverFromOtherGroup(reader, StoreNews.Kind.READ, 100, 100, 10);
 		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(140);
@@ -343,8 +343,8 @@
 	void keepsWatchingForForwardersAndLowerRankedWatchersOfOtherGroups() {
 		this.otherCount = 3;
 		startWatching();
-		deliverFromOtherGroup(ranked(SharedReading.ALL_GROUPS, false), StoreNews.Kind.READ, 100, 100, 10);
-		deliverFromOtherGroup(ranked(SharedReading.ALL_GROUPS, true), StoreNews.Kind.PASSED_ON, 100, 100, 10);
+		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, false), StoreNews.Kind.READ, 100, 100, 10);
+		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, true), StoreNews.Kind.PASSED_ON, 100, 100, 10);
 		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(100);
 		assertThat(this.calls.get(2)).isEqualTo("watch 100 700");
@@ -358,7 +358,7 @@
 		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(80);
 		this.sent.clear();
-		deliverFromOtherGroup(ranked(SharedReading.ALL_GROUPS, true), StoreNews.Kind.READ, 100, 101, 90,
+		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, true), StoreNews.Kind.READ, 100, 101, 90,
 				change("a", 101));
 		this.timers.run(200);
 		assertThat(this.sent).isEmpty();
@@ -476,10 +476,10 @@
 	void answersARequestOnlyForChangesThatItHas() {
 		startWatching();
 		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101), change("b", 103)), 103, 20);
-		assertThat(this.reading.answer(request(101))).isEqualTo(
+		assertThat(this.watch.createAnswer(request(101))).isEqualTo(
 				Optional.of(new StoreNews("me", "z", 101, 103, List.of(change("b", 103)), false, StoreNews.Kind.READ)));
-		assertThat(this.reading.answer(request(99))).isEqualTo(Optional.empty());
-		assertThat(this.reading.answer(request(103))).isEqualTo(Optional.empty());
+		assertThat(this.watch.createAnswer(request(99))).isEqualTo(Optional.empty());
+		assertThat(this.watch.createAnswer(request(103))).isEqualTo(Optional.empty());
 	}
 
 	@Test
@@ -487,8 +487,8 @@
 		startWatching();
 		deliver(lowerRanked(), 100, 101, 20, change("a", 101));
 		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101), change("b", 102)), 102, 30);
-		assertThat(this.reading.answer(request(100)).map(StoreNews::to)).isEqualTo(Optional.of(102L));
-		assertThat(this.reading.answer(request(100)).map((n) -> n.changes().get(0).key())).isEqualTo(Optional.of("a"));
+		assertThat(this.watch.createAnswer(request(100)).map(StoreNews::to)).isEqualTo(Optional.of(102L));
+		assertThat(this.watch.createAnswer(request(100)).map((n) -> n.changes().get(0).key())).isEqualTo(Optional.of("a"));
 	}
 
 	// Guards against waiting for a lost answer after the machine was suspended, and
@@ -563,7 +563,7 @@
 	private void deliverFromOtherGroup(String reader, StoreNews.Kind kind, long from, long to, long now,
 			StoreChange... changes) {
 		StoreNews update = new StoreNews(reader, "y", from, to, List.of(changes), false, kind);
-		this.reading.heard(update, now);
+		this.watch.recordUpdate(update, now);
 		this.follower.updateReceived(update, now);
 	}
 
@@ -581,7 +581,7 @@
 
 	private void deliver(String reader, long from, long to, long now, StoreChange... changes) {
 		StoreNews update = new StoreNews(reader, "z", from, to, List.of(changes), false, StoreNews.Kind.READ);
-		this.reading.heard(update, now);
+		this.watch.recordUpdate(update, now);
 		this.follower.updateReceived(update, now);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -19,7 +19,7 @@
 import dev.laneworks.core.dispatch.EntryRanks;
 import dev.laneworks.core.dispatch.RetryWindow;
 import dev.laneworks.core.dispatch.TargetBeliefs;
-import dev.laneworks.core.follow.SharedReading;
+import dev.laneworks.core.follow.SharedWatch;
 import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.gossip.Gossip;
@@ -58,7 +58,7 @@
 
 	private final Gossip gossip;
 
-	private final SharedReading reading;
+	private final SharedWatch reading;
 
 	/** Addresses at which entries may receive gossip. */
 	private final Set<String> seeds;
@@ -91,9 +91,9 @@
 		this.seeds = seeds(settings);
 		this.gossip = new Gossip(GossipSettings.defaults(), settings.instance(), settings.dataCentre(), this.ownAddress,
 				this.seeds, this, loop.timers(), random, audit);
-		this.reading = new SharedReading(settings.instance(), settings.dataCentre(), this::sharingPeers,
+		this.reading = new SharedWatch(settings.instance(), settings.dataCentre(), this::sharingPeers,
 				(n) -> sendStoreUpdate(this.gossip.nearAddresses(), n), (n) -> sendStoreUpdate(
-						this.gossip.topOfOtherDataCentres(SharedReading.TOLD_IN_EACH_GROUP, SharedReading::rank), n));
+						this.gossip.topOfOtherDataCentres(SharedWatch.RECEIVERS_PER_GROUP, SharedWatch::rank), n));
 		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
 			beliefs.onChange((target, change) -> this.gossip.workChanged(target.run(), reach(change), loop.now()));
 		}
@@ -118,7 +118,7 @@
 	}
 
 	// Return the object that shares watches of the store within the data centre.
-	SharedReading reading() {
+	SharedWatch reading() {
 		return this.reading;
 	}
 
@@ -171,7 +171,7 @@
 
 	// Determine whether this entry is the one that polls the engines of a data centre.
 	boolean asksIn(String dataCentre) {
-		return this.gossip.isProber(dataCentre, SharedReading::rank, this.loop.now());
+		return this.gossip.isProber(dataCentre, SharedWatch::rank, this.loop.now());
 	}
 
 	// Set the listener for targets that reported to other entries that they are
@@ -275,10 +275,10 @@
 
 	private void storeUpdateReceived(String from, StoreNews news) {
 		if (news.kind() == StoreNews.Kind.QUESTION) {
-			this.reading.answer(news).ifPresent((a) -> this.socket.send(List.of(socketAddress(from)), a));
+			this.reading.createAnswer(news).ifPresent((a) -> this.socket.send(List.of(socketAddress(from)), a));
 			return;
 		}
-		this.reading.heard(news, this.loop.now());
+		this.reading.recordUpdate(news, this.loop.now());
 		this.storeUpdateListener.accept(news);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/StoreView.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/StoreView.java
@@ -10,7 +10,7 @@
 import dev.laneworks.core.directory.Evacuations;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.follow.FollowSettings;
-import dev.laneworks.core.follow.SharedReading;
+import dev.laneworks.core.follow.SharedWatch;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.retry.Backoff;
 import dev.laneworks.core.serving.ServingPlan;
@@ -44,21 +44,21 @@
 	 * @param members the listener for targets that join, drain and leave
 	 * @param evacuationListener the listener for evacuations of data centres
 	 * @param planListener the consumer of each plan that becomes active
-	 * @param reading the sharing of store updates with other entries
+	 * @param watch the sharing of store updates with other entries
 	 * @param timers the timers of the I/O thread
 	 * @param random the source of jitter
 	 * @param background the executor for parsing large plans
 	 * @param audit the sink for audit events
 	 */
 	StoreView(ServingSource source, FollowSettings settings, DirectoryListener members,
-			EvacuationListener evacuationListener, Consumer<ServingPlan> planListener, SharedReading reading,
+			EvacuationListener evacuationListener, Consumer<ServingPlan> planListener, SharedWatch watch,
 			Timers timers, RandomGenerator random, BackgroundWork background, AuditSink audit) {
 		this.evacuations = new Evacuations(evacuationListener);
 		this.directory = new TargetDirectory(members, this.evacuations, timers);
 		this.published = new PlanAndTargets(source, this.directory, this.evacuations, planListener, audit, background,
 				timers);
 		this.follower = new StoreFollower(settings, source.calls(this::follower), this.published, timers,
-				new Backoff(FIRST_BACKOFF, MAX_BACKOFF, random), reading);
+				new Backoff(FIRST_BACKOFF, MAX_BACKOFF, random), watch);
 	}
 
 	TargetDirectory directory() {
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -23,7 +23,7 @@
 import dev.laneworks.core.directory.TargetRun;
 import dev.laneworks.core.follow.FollowOutputs;
 import dev.laneworks.core.follow.FollowSettings;
-import dev.laneworks.core.follow.SharedReading;
+import dev.laneworks.core.follow.SharedWatch;
 import dev.laneworks.core.follow.StoreChange;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.follow.StoreItem;
@@ -332,7 +332,7 @@
 			.collect(Collectors.groupingBy((e) -> e.dataCentre))
 			.values()
 			.forEach((all) -> send(from, news,
-					all.stream().sorted(Entry.FIRST_BY_RANK).limit(SharedReading.TOLD_IN_EACH_GROUP).toList()));
+					all.stream().sorted(Entry.FIRST_BY_RANK).limit(SharedWatch.RECEIVERS_PER_GROUP).toList()));
 	}
 
 	private void send(Entry from, StoreNews news, List<Entry> receivers) {
@@ -363,7 +363,7 @@
 	final class Entry implements DirectoryListener, EvacuationListener {
 
 		static final Comparator<Entry> FIRST_BY_RANK = Comparator
-			.comparing((e) -> SharedReading.rank(e.dataCentre, e.name), (a, b) -> Long.compareUnsigned(b, a));
+			.comparing((e) -> SharedWatch.rank(e.dataCentre, e.name), (a, b) -> Long.compareUnsigned(b, a));
 
 		final String name;
 
@@ -397,19 +397,19 @@
 		/** Whether this entry receives no updates from other entries. */
 		boolean ignoresPeers;
 
-		private final SharedReading reading;
+		private final SharedWatch watch;
 
 		private final Source source;
 
 		Entry(String name, String dataCentre) {
 			this.name = name;
 			this.dataCentre = dataCentre;
-			this.reading = new SharedReading(name, dataCentre, this::others,
+			this.watch = new SharedWatch(name, dataCentre, this::others,
 					(n) -> MembershipSimulation.this.sendToDataCentre(this, n),
 					(n) -> MembershipSimulation.this.sendToOtherDataCentres(this, n));
 			this.source = new Source(this);
 			this.store = new StoreView(this.source, SETTINGS, this, this, (p) -> {
-			}, this.reading, MembershipSimulation.this.timers, MembershipSimulation.this.random.split(),
+			}, this.watch, MembershipSimulation.this.timers, MembershipSimulation.this.random.split(),
 					new SynchronousWork(), (e) -> {
 					});
 		}
@@ -448,12 +448,12 @@
 				return;
 			}
 			if (news.kind() == StoreNews.Kind.QUESTION) {
-				this.reading.answer(news)
+				this.watch.createAnswer(news)
 					.ifPresent((a) -> MembershipSimulation.this.timers.schedule(MembershipSimulation.this.now + 2,
 							(t) -> from.receive(this, a)));
 				return;
 			}
-			this.reading.heard(news, MembershipSimulation.this.now);
+			this.watch.recordUpdate(news, MembershipSimulation.this.now);
 			this.store.follower().updateReceived(news, MembershipSimulation.this.now);
 		}
 
