--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedWatch.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedWatch.java
@@ -72,9 +72,9 @@
 
 	private final long groupKey;
 
-	private final Consumer<StoreNews> localSender;
+	private final Consumer<StoreUpdate> localSender;
 
-	private final Consumer<StoreNews> remoteSender;
+	private final Consumer<StoreUpdate> remoteSender;
 
 	private final IntSupplier otherCount;
 
@@ -105,8 +105,8 @@
 	 * @param remoteSender sends an update to the {@link #RECEIVERS_PER_GROUP} processes of
 	 * each other group with the highest {@link #rank}
 	 */
-	public SharedWatch(String instance, String group, IntSupplier otherCount, Consumer<StoreNews> localSender,
-			Consumer<StoreNews> remoteSender) {
+	public SharedWatch(String instance, String group, IntSupplier otherCount, Consumer<StoreUpdate> localSender,
+			Consumer<StoreUpdate> remoteSender) {
 		this.instance = Objects.requireNonNull(instance, "instance must not be null");
 		this.group = Objects.requireNonNull(group, "group must not be null");
 		this.groupKey = Rendezvous.hash(group);
@@ -133,15 +133,15 @@
 	 * @param update the update received from it
 	 * @param now the current time in milliseconds
 	 */
-	public void recordUpdate(StoreNews update, long now) {
-		if (update.reader().equals(this.instance)) {
+	public void recordUpdate(StoreUpdate update, long now) {
+		if (update.sender().equals(this.instance)) {
 			return;
 		}
 		if (isFromOwnGroup(update)) {
-			this.localWatchers.put(update.reader(), new LastUpdate(update.to(), now));
+			this.localWatchers.put(update.sender(), new LastUpdate(update.to(), now));
 		}
-		else if (update.kind() == StoreNews.Kind.READ) {
-			this.remoteWatchers.put(update.reader(), new LastUpdate(update.to(), now));
+		else if (update.kind() == StoreUpdate.Kind.READ) {
+			this.remoteWatchers.put(update.sender(), new LastUpdate(update.to(), now));
 		}
 	}
 
@@ -188,7 +188,7 @@
 					&& Long.compareUnsigned(Rendezvous.weight(key, r.getKey()), own) > 0);
 	}
 
-	private boolean isFromOwnGroup(StoreNews update) {
+	private boolean isFromOwnGroup(StoreUpdate update) {
 		return update.group().equals(this.group);
 	}
 
@@ -201,7 +201,7 @@
 	public void requestMissed(long revision, long now) {
 		if (now - this.requestedAt >= REQUEST_INTERVAL_MILLIS) {
 			this.requestedAt = now;
-			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreNews.Kind.QUESTION));
+			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreUpdate.Kind.QUESTION));
 		}
 	}
 
@@ -211,13 +211,13 @@
 	 * @return all changes after the revision known to the requester, or empty if this
 	 * process does not have them
 	 */
-	public Optional<StoreNews> createAnswer(StoreNews request) {
-		if (request.kind() != StoreNews.Kind.QUESTION || this.recorded.isEmpty() || request.from() < this.recordedFrom
+	public Optional<StoreUpdate> createAnswer(StoreUpdate request) {
+		if (request.kind() != StoreUpdate.Kind.QUESTION || this.recorded.isEmpty() || request.from() < this.recordedFrom
 				|| request.from() >= this.recordedTo) {
 			return Optional.empty();
 		}
 		List<StoreChange> missed = this.recorded.stream().filter((c) -> c.revision() > request.from()).toList();
-		return Optional.of(createUpdate(request.from(), this.recordedTo, missed, false, StoreNews.Kind.READ));
+		return Optional.of(createUpdate(request.from(), this.recordedTo, missed, false, StoreUpdate.Kind.READ));
 	}
 
 	/**
@@ -229,7 +229,7 @@
 	 */
 	public void sendChanges(long from, long to, List<StoreChange> changes, boolean returning) {
 		recordChanges(from, to, changes);
-		StoreNews readUpdate = createUpdate(from, to, changes, returning, StoreNews.Kind.READ);
+		StoreUpdate readUpdate = createUpdate(from, to, changes, returning, StoreUpdate.Kind.READ);
 		if (isShared() || !changes.isEmpty()) {
 			this.localSender.accept(readUpdate);
 		}
@@ -250,7 +250,7 @@
 		if (missed.isEmpty()) {
 			return;
 		}
-		StoreNews missedUpdate = createUpdate(at, at, missed, returning, StoreNews.Kind.READ);
+		StoreUpdate missedUpdate = createUpdate(at, at, missed, returning, StoreUpdate.Kind.READ);
 		this.localSender.accept(missedUpdate);
 		if (isShared()) {
 			this.remoteSender.accept(missedUpdate);
@@ -263,14 +263,14 @@
 	 * @param received the update
 	 * @param now the current time in milliseconds
 	 */
-	public void forward(StoreNews received, long now) {
-		boolean isFromWatcher = !isFromOwnGroup(received) && received.kind() == StoreNews.Kind.READ;
+	public void forward(StoreUpdate received, long now) {
+		boolean isFromWatcher = !isFromOwnGroup(received) && received.kind() == StoreUpdate.Kind.READ;
 		if (isFromWatcher && !received.changes().isEmpty() && isGroupSender(now)) {
 			if (received.to() != this.recordedTo) {
 				recordChanges(received.from(), received.to(), received.changes());
 			}
 			this.localSender.accept(createUpdate(received.from(), received.to(), received.changes(),
-					received.returning(), StoreNews.Kind.PASSED_ON));
+					received.recovering(), StoreUpdate.Kind.PASSED_ON));
 		}
 	}
 
@@ -282,13 +282,13 @@
 	 */
 	public void forwardHeartbeat(long revision, long now) {
 		if (isGroupSender(now)) {
-			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreNews.Kind.PASSED_ON));
+			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreUpdate.Kind.PASSED_ON));
 		}
 	}
 
-	private StoreNews createUpdate(long from, long to, List<StoreChange> changes, boolean returning,
-			StoreNews.Kind kind) {
-		return new StoreNews(this.instance, this.group, from, to, changes, returning, kind);
+	private StoreUpdate createUpdate(long from, long to, List<StoreChange> changes, boolean returning,
+			StoreUpdate.Kind kind) {
+		return new StoreUpdate(this.instance, this.group, from, to, changes, returning, kind);
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -326,9 +326,9 @@
 	 * @param update the update
 	 * @param now the current time in milliseconds
 	 */
-	public void updateReceived(StoreNews update, long now) {
+	public void updateReceived(StoreUpdate update, long now) {
 		this.silence.recordContact(now);
-		if (update.returning()) {
+		if (update.recovering()) {
 			reportRecovery(now);
 		}
 		if (!this.synced) {
@@ -404,14 +404,14 @@
 	}
 
 	// An update that changes nothing here was forwarded before.
-	private void forwardIfNew(StoreNews update, long before, long now) {
+	private void forwardIfNew(StoreUpdate update, long before, long now) {
 		if (this.cache.revision() > before) {
 			this.watch.forward(update, now);
 		}
 	}
 
 	// The changes are applied at once, since the pages being read may be older.
-	private void applyWhileReading(StoreNews update, long now) {
+	private void applyWhileReading(StoreUpdate update, long now) {
 		if (this.hasReadAll) {
 			applyOutOfOrder(update.changes(), now);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreNews.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreUpdate.java
@@ -6,22 +6,22 @@
 /**
  * A store update that one process sends to others, or a request for missed changes.
  *
- * @param reader the name of the sending instance
+ * @param sender the name of the sending instance
  * @param group the group of the sender
  * @param from the revision before the changes
  * @param to the revision known to the sender
  * @param changes all changes after {@code from} up to {@code to} in their order; empty if
  * there are none or they are too large to send
- * @param returning whether the store was unreachable for the sender until recently, so
+ * @param recovering whether the store was unreachable for the sender until recently, so
  * that items may be missing that are written again soon
  * @param kind the kind of the update
  * @since 0.2
  */
-public record StoreNews(String reader, String group, long from, long to, List<StoreChange> changes, boolean returning,
+public record StoreUpdate(String sender, String group, long from, long to, List<StoreChange> changes, boolean recovering,
 		Kind kind) {
 
-	public StoreNews {
-		Objects.requireNonNull(reader, "reader must not be null");
+	public StoreUpdate {
+		Objects.requireNonNull(sender, "sender must not be null");
 		Objects.requireNonNull(group, "group must not be null");
 		Objects.requireNonNull(kind, "kind must not be null");
 		changes = List.copyOf(changes);
@@ -33,11 +33,11 @@
 	 * @param maxLength the maximum length of a change's value, in characters
 	 * @return an update that does not count as complete
 	 */
-	public StoreNews withoutLargeChanges(int maxLength) {
+	public StoreUpdate withoutLargeChanges(int maxLength) {
 		List<StoreChange> small = this.changes.stream()
 			.filter((c) -> c.item().filter((i) -> i.value().length() > maxLength).isEmpty())
 			.toList();
-		return new StoreNews(this.reader, this.group, this.to, this.to, small, this.returning, this.kind);
+		return new StoreUpdate(this.sender, this.group, this.to, this.to, small, this.recovering, this.kind);
 	}
 
 	/**
@@ -53,8 +53,8 @@
 	 * some.
 	 * @return the update with an empty list of changes
 	 */
-	public StoreNews withoutChanges() {
-		return new StoreNews(this.reader, this.group, this.from, this.to, List.of(), this.returning, this.kind);
+	public StoreUpdate withoutChanges() {
+		return new StoreUpdate(this.sender, this.group, this.from, this.to, List.of(), this.recovering, this.kind);
 	}
 
 	/**
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
@@ -103,8 +103,8 @@
 
 	private void deliverToAll(long written) {
 		StoreChange change = this.history.get(this.history.size() - 1);
-		StoreNews update = new StoreNews("other", "elsewhere", written - 1, written, List.of(change), false,
-				StoreNews.Kind.READ);
+		StoreUpdate update = new StoreUpdate("other", "elsewhere", written - 1, written, List.of(change), false,
+				StoreUpdate.Kind.READ);
 		this.processes.forEach((p) -> p.follower.updateReceived(update, this.now));
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
@@ -37,9 +37,9 @@
 
 	private long lastCall;
 
-	private final List<StoreNews> sent = new ArrayList<>();
+	private final List<StoreUpdate> sent = new ArrayList<>();
 
-	private final List<StoreNews> sentToOtherGroups = new ArrayList<>();
+	private final List<StoreUpdate> sentToOtherGroups = new ArrayList<>();
 
 	private int otherCount;
 
@@ -243,8 +243,8 @@
 		this.timers.run(150);
 		assertThat(this.calls.get(2)).isEqualTo("watch 101 700");
 		assertThat(this.sent).containsExactly(
-				new StoreNews("me", "z", 100, 101, List.of(change("a", 101)), false, StoreNews.Kind.READ),
-				new StoreNews("me", "z", 101, 101, List.of(), false, StoreNews.Kind.READ));
+				new StoreUpdate("me", "z", 100, 101, List.of(change("a", 101)), false, StoreUpdate.Kind.READ),
+				new StoreUpdate("me", "z", 101, 101, List.of(), false, StoreUpdate.Kind.READ));
 	}
 
 	@Test
@@ -319,7 +319,7 @@
 		this.follower.watchAnswered(this.lastCall, List.of(change("b", 101)), 101, 1_210);
 		this.timers.run(1_300);
 		this.follower.watchAnswered(this.lastCall, List.of(change("c", 102)), 102, 3_210);
-		assertThat(this.sent.stream().map(StoreNews::returning).toList()).containsExactly(true, false).inOrder();
+		assertThat(this.sent.stream().map(StoreUpdate::recovering).toList()).containsExactly(true, false).inOrder();
 	}
 
 	@Test
@@ -327,10 +327,10 @@
 		this.otherCount = 3;
 		startWatching();
 		String reader = ranked(SharedWatch.ALL_GROUPS, true);
-		deliverFromOtherGroup(reader, StoreNews.Kind.READ, 100, 100, 10);
+		deliverFromOtherGroup(reader, StoreUpdate.Kind.READ, 100, 100, 10);
 		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(140);
-		deliverFromOtherGroup(reader, StoreNews.Kind.READ, 100, 101, 145, change("a", 101));
+		deliverFromOtherGroup(reader, StoreUpdate.Kind.READ, 100, 101, 145, change("a", 101));
 		this.timers.run(300);
 		assertThat(this.calls).hasSize(2);
 		assertThat(this.events).containsExactly("all [a]", "changed [a]").inOrder();
@@ -343,8 +343,8 @@
 	void keepsWatchingForForwardersAndLowerRankedWatchersOfOtherGroups() {
 		this.otherCount = 3;
 		startWatching();
-		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, false), StoreNews.Kind.READ, 100, 100, 10);
-		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, true), StoreNews.Kind.PASSED_ON, 100, 100, 10);
+		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, false), StoreUpdate.Kind.READ, 100, 100, 10);
+		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, true), StoreUpdate.Kind.PASSED_ON, 100, 100, 10);
 		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(100);
 		assertThat(this.calls.get(2)).isEqualTo("watch 100 700");
@@ -358,7 +358,7 @@
 		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(80);
 		this.sent.clear();
-		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, true), StoreNews.Kind.READ, 100, 101, 90,
+		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, true), StoreUpdate.Kind.READ, 100, 101, 90,
 				change("a", 101));
 		this.timers.run(200);
 		assertThat(this.sent).isEmpty();
@@ -398,7 +398,7 @@
 		startWatching();
 		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101)), 101, 20);
 		assertThat(this.sentToOtherGroups)
-			.containsExactly(new StoreNews("me", "z", 100, 101, List.of(change("a", 101)), false, StoreNews.Kind.READ));
+			.containsExactly(new StoreUpdate("me", "z", 100, 101, List.of(change("a", 101)), false, StoreUpdate.Kind.READ));
 	}
 
 	@Test
@@ -408,7 +408,7 @@
 		deliver(lowerRanked(), 103, 104, 1_010, change("d", 104));
 		deliver(lowerRanked(), 104, 105, 1_020, change("e", 105));
 		assertThat(this.sent)
-			.containsExactly(new StoreNews("me", "z", 100, 100, List.of(), false, StoreNews.Kind.QUESTION));
+			.containsExactly(new StoreUpdate("me", "z", 100, 100, List.of(), false, StoreUpdate.Kind.QUESTION));
 		assertThat(this.events).containsExactly("all [a]", "lost rejected", "changed [d]", "changed [e]").inOrder();
 		deliver(lowerRanked(), 100, 105, 1_030, change("c", 102), change("d", 104), change("e", 105));
 		assertThat(this.events).contains("changed [c]");
@@ -438,8 +438,8 @@
 		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(200);
 		StoreChange large = new StoreChange("plan", Optional.of(new StoreItem("plan", "x".repeat(50))), 101);
-		StoreNews all = new StoreNews(higherRanked(), "z", 100, 102, List.of(large, change("b", 102)), false,
-				StoreNews.Kind.READ);
+		StoreUpdate all = new StoreUpdate(higherRanked(), "z", 100, 102, List.of(large, change("b", 102)), false,
+				StoreUpdate.Kind.READ);
 		this.follower.updateReceived(all.withoutLargeChanges(20), 210);
 		assertThat(this.events).containsExactly("all [a]", "changed [b]").inOrder();
 		assertThat(this.calls.get(this.calls.size() - 1)).isEqualTo("watch 100 700");
@@ -477,7 +477,7 @@
 		startWatching();
 		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101), change("b", 103)), 103, 20);
 		assertThat(this.watch.createAnswer(request(101))).isEqualTo(
-				Optional.of(new StoreNews("me", "z", 101, 103, List.of(change("b", 103)), false, StoreNews.Kind.READ)));
+				Optional.of(new StoreUpdate("me", "z", 101, 103, List.of(change("b", 103)), false, StoreUpdate.Kind.READ)));
 		assertThat(this.watch.createAnswer(request(99))).isEqualTo(Optional.empty());
 		assertThat(this.watch.createAnswer(request(103))).isEqualTo(Optional.empty());
 	}
@@ -487,7 +487,7 @@
 		startWatching();
 		deliver(lowerRanked(), 100, 101, 20, change("a", 101));
 		this.follower.watchAnswered(this.lastCall, List.of(change("a", 101), change("b", 102)), 102, 30);
-		assertThat(this.watch.createAnswer(request(100)).map(StoreNews::to)).isEqualTo(Optional.of(102L));
+		assertThat(this.watch.createAnswer(request(100)).map(StoreUpdate::to)).isEqualTo(Optional.of(102L));
 		assertThat(this.watch.createAnswer(request(100)).map((n) -> n.changes().get(0).key())).isEqualTo(Optional.of("a"));
 	}
 
@@ -560,27 +560,27 @@
 		}
 	}
 
-	private void deliverFromOtherGroup(String reader, StoreNews.Kind kind, long from, long to, long now,
+	private void deliverFromOtherGroup(String reader, StoreUpdate.Kind kind, long from, long to, long now,
 			StoreChange... changes) {
-		StoreNews update = new StoreNews(reader, "y", from, to, List.of(changes), false, kind);
+		StoreUpdate update = new StoreUpdate(reader, "y", from, to, List.of(changes), false, kind);
 		this.watch.recordUpdate(update, now);
 		this.follower.updateReceived(update, now);
 	}
 
-	private static StoreNews forwarded(long from, long to, StoreChange... changes) {
-		return new StoreNews("me", "z", from, to, List.of(changes), false, StoreNews.Kind.PASSED_ON);
+	private static StoreUpdate forwarded(long from, long to, StoreChange... changes) {
+		return new StoreUpdate("me", "z", from, to, List.of(changes), false, StoreUpdate.Kind.PASSED_ON);
 	}
 
-	private static StoreNews request(long revision) {
-		return new StoreNews("two", "z", revision, revision, List.of(), false, StoreNews.Kind.QUESTION);
+	private static StoreUpdate request(long revision) {
+		return new StoreUpdate("two", "z", revision, revision, List.of(), false, StoreUpdate.Kind.QUESTION);
 	}
 
-	private static StoreNews afterOutage(long from, long to, StoreChange... changes) {
-		return new StoreNews("two", "z", from, to, List.of(changes), true, StoreNews.Kind.READ);
+	private static StoreUpdate afterOutage(long from, long to, StoreChange... changes) {
+		return new StoreUpdate("two", "z", from, to, List.of(changes), true, StoreUpdate.Kind.READ);
 	}
 
 	private void deliver(String reader, long from, long to, long now, StoreChange... changes) {
-		StoreNews update = new StoreNews(reader, "z", from, to, List.of(changes), false, StoreNews.Kind.READ);
+		StoreUpdate update = new StoreUpdate(reader, "z", from, to, List.of(changes), false, StoreUpdate.Kind.READ);
 		this.watch.recordUpdate(update, now);
 		this.follower.updateReceived(update, now);
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -20,7 +20,7 @@
 import dev.laneworks.core.dispatch.RetryWindow;
 import dev.laneworks.core.dispatch.TargetBeliefs;
 import dev.laneworks.core.follow.SharedWatch;
-import dev.laneworks.core.follow.StoreNews;
+import dev.laneworks.core.follow.StoreUpdate;
 import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.gossip.Gossip;
 import dev.laneworks.core.gossip.GossipOutputs;
@@ -63,7 +63,7 @@
 	/** Addresses at which entries may receive gossip. */
 	private final Set<String> seeds;
 
-	private Consumer<StoreNews> storeUpdateListener = (n) -> {
+	private Consumer<StoreUpdate> storeUpdateListener = (n) -> {
 	};
 
 	private Consumer<TargetRun> drainingListener = (t) -> {
@@ -140,7 +140,7 @@
 	}
 
 	// Set the listener for store updates read by other entries.
-	void onStoreUpdate(Consumer<StoreNews> listener) {
+	void onStoreUpdate(Consumer<StoreUpdate> listener) {
 		this.storeUpdateListener = listener;
 	}
 
@@ -273,13 +273,13 @@
 			.collect(Collectors.toSet());
 	}
 
-	private void storeUpdateReceived(String from, StoreNews news) {
-		if (news.kind() == StoreNews.Kind.QUESTION) {
-			this.reading.createAnswer(news).ifPresent((a) -> this.socket.send(List.of(socketAddress(from)), a));
+	private void storeUpdateReceived(String from, StoreUpdate update) {
+		if (update.kind() == StoreUpdate.Kind.QUESTION) {
+			this.reading.createAnswer(update).ifPresent((a) -> this.socket.send(List.of(socketAddress(from)), a));
 			return;
 		}
-		this.reading.recordUpdate(news, this.loop.now());
-		this.storeUpdateListener.accept(news);
+		this.reading.recordUpdate(update, this.loop.now());
+		this.storeUpdateListener.accept(update);
 	}
 
 	private int sharingPeers() {
@@ -287,9 +287,9 @@
 	}
 
 	// Has no effect before the socket is open.
-	private void sendStoreUpdate(List<String> addresses, StoreNews news) {
+	private void sendStoreUpdate(List<String> addresses, StoreUpdate update) {
 		if (this.socket != null && !addresses.isEmpty()) {
-			this.socket.send(addresses.stream().map(PeerEntries::socketAddress).toList(), news);
+			this.socket.send(addresses.stream().map(PeerEntries::socketAddress).toList(), update);
 		}
 	}
 
@@ -311,8 +311,8 @@
 		}
 
 		@Override
-		public void store(String from, StoreNews news) {
-			PeerEntries.this.loop.run(() -> storeUpdateReceived(from, news));
+		public void store(String from, StoreUpdate update) {
+			PeerEntries.this.loop.run(() -> storeUpdateReceived(from, update));
 		}
 
 		@Override
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -27,8 +27,8 @@
 import dev.laneworks.core.follow.StoreChange;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.follow.StoreItem;
-import dev.laneworks.core.follow.StoreNews;
 import dev.laneworks.core.follow.StorePosition;
+import dev.laneworks.core.follow.StoreUpdate;
 import dev.laneworks.core.serving.RequestLimits;
 import dev.laneworks.core.serving.ServiceSpec;
 import dev.laneworks.core.serving.ServingPlan;
@@ -319,29 +319,29 @@
 		return all;
 	}
 
-	private void sendToDataCentre(Entry from, StoreNews news) {
-		send(from, news,
+	private void sendToDataCentre(Entry from, StoreUpdate update) {
+		send(from, update,
 				this.entries.stream()
 					.filter((e) -> this.broadcastsToAll || e.dataCentre.equals(from.dataCentre))
 					.toList());
 	}
 
-	private void sendToOtherDataCentres(Entry from, StoreNews news) {
+	private void sendToOtherDataCentres(Entry from, StoreUpdate update) {
 		this.entries.stream()
 			.filter((e) -> !e.dataCentre.equals(from.dataCentre))
 			.collect(Collectors.groupingBy((e) -> e.dataCentre))
 			.values()
-			.forEach((all) -> send(from, news,
+			.forEach((all) -> send(from, update,
 					all.stream().sorted(Entry.FIRST_BY_RANK).limit(SharedWatch.RECEIVERS_PER_GROUP).toList()));
 	}
 
-	private void send(Entry from, StoreNews news, List<Entry> receivers) {
+	private void send(Entry from, StoreUpdate update, List<Entry> receivers) {
 		for (Entry to : receivers) {
 			boolean isDelivered = to != from && this.random.nextInt(1_000) >= this.lostUpdatesPerMille;
 			for (int i = 0; isDelivered && i < ((this.random.nextInt(20) == 0) ? 2 : 1); i++) {
 				long delay = 1 + ((this.random.nextInt(1_000) < this.lateUpdatesPerMille) ? this.random.nextInt(400)
 						: this.random.nextInt(5));
-				this.timers.schedule(this.now + delay, (t) -> to.receive(from, news));
+				this.timers.schedule(this.now + delay, (t) -> to.receive(from, update));
 			}
 		}
 	}
@@ -443,18 +443,18 @@
 				.count() - 1;
 		}
 
-		private void receive(Entry from, StoreNews news) {
+		private void receive(Entry from, StoreUpdate update) {
 			if (this.ignoresPeers) {
 				return;
 			}
-			if (news.kind() == StoreNews.Kind.QUESTION) {
-				this.watch.createAnswer(news)
+			if (update.kind() == StoreUpdate.Kind.QUESTION) {
+				this.watch.createAnswer(update)
 					.ifPresent((a) -> MembershipSimulation.this.timers.schedule(MembershipSimulation.this.now + 2,
 							(t) -> from.receive(this, a)));
 				return;
 			}
-			this.watch.recordUpdate(news, MembershipSimulation.this.now);
-			this.store.follower().updateReceived(news, MembershipSimulation.this.now);
+			this.watch.recordUpdate(update, MembershipSimulation.this.now);
+			this.store.follower().updateReceived(update, MembershipSimulation.this.now);
 		}
 
 		@Override
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import com.google.protobuf.InvalidProtocolBufferException;
-import dev.laneworks.core.follow.StoreNews;
+import dev.laneworks.core.follow.StoreUpdate;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.SnapshotRequest;
@@ -31,7 +31,7 @@
 			.toByteArray();
 	}
 
-	static byte[] encode(StoreNews update) {
+	static byte[] encode(StoreUpdate update) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
 			.setStore(StoreNewsCodec.encode(update))
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import dev.laneworks.core.follow.StoreNews;
+import dev.laneworks.core.follow.StoreUpdate;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.SnapshotRequest;
@@ -29,7 +29,7 @@
 	 * @param from the sender's address, {@code IP:PORT}
 	 * @param update the update or request
 	 */
-	void store(String from, StoreNews update);
+	void store(String from, StoreUpdate update);
 
 	/**
 	 * Handle a request for a snapshot of the store.
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-import dev.laneworks.core.follow.StoreNews;
+import dev.laneworks.core.follow.StoreUpdate;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.handover.SnapshotChunk;
 import dev.laneworks.core.handover.SnapshotRequest;
@@ -89,9 +89,9 @@
 	 * @param addresses the receivers' addresses
 	 * @param update the update or request
 	 */
-	public void send(List<InetSocketAddress> addresses, StoreNews update) {
+	public void send(List<InetSocketAddress> addresses, StoreUpdate update) {
 		// Avoids encoding an update that is certainly too large.
-		StoreNews reduced = (update.characters() <= MAX_DATAGRAM_BYTES) ? update
+		StoreUpdate reduced = (update.characters() <= MAX_DATAGRAM_BYTES) ? update
 				: update.withoutLargeChanges(LARGE_CHANGE_CHARACTERS);
 		byte[] encoded = EntryDatagramCodec.encode(reduced);
 		byte[] datagram = (encoded.length <= MAX_DATAGRAM_BYTES) ? encoded
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StoreNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StoreNewsCodec.java
@@ -5,7 +5,7 @@
 
 import dev.laneworks.core.follow.StoreChange;
 import dev.laneworks.core.follow.StoreItem;
-import dev.laneworks.core.follow.StoreNews;
+import dev.laneworks.core.follow.StoreUpdate;
 import dev.laneworks.wire.proto.Protocol;
 
 /**
@@ -16,11 +16,11 @@
 	private StoreNewsCodec() {
 	}
 
-	static Protocol.StoreNews encode(StoreNews update) {
+	static Protocol.StoreNews encode(StoreUpdate update) {
 		Protocol.StoreNews.Builder builder = Protocol.StoreNews.newBuilder()
-			.setReader(update.reader())
+			.setReader(update.sender())
 			.setGroup(update.group())
-			.setReturning(update.returning())
+			.setReturning(update.recovering())
 			.setFrom(update.from())
 			.setTo(update.to())
 			.setKind(encode(update.kind()));
@@ -28,13 +28,13 @@
 		return builder.build();
 	}
 
-	static StoreNews decode(Protocol.StoreNews update) {
+	static StoreUpdate decode(Protocol.StoreNews update) {
 		List<StoreChange> changes = update.getChangesList().stream().map(StoreNewsCodec::decode).toList();
-		return new StoreNews(update.getReader(), update.getGroup(), update.getFrom(), update.getTo(), changes,
+		return new StoreUpdate(update.getReader(), update.getGroup(), update.getFrom(), update.getTo(), changes,
 				update.getReturning(), decode(update.getKind()));
 	}
 
-	private static Protocol.StoreNewsKind encode(StoreNews.Kind kind) {
+	private static Protocol.StoreNewsKind encode(StoreUpdate.Kind kind) {
 		return switch (kind) {
 			case READ -> Protocol.StoreNewsKind.STORE_NEWS_READ;
 			case QUESTION -> Protocol.StoreNewsKind.STORE_NEWS_QUESTION;
@@ -42,11 +42,11 @@
 		};
 	}
 
-	private static StoreNews.Kind decode(Protocol.StoreNewsKind kind) {
+	private static StoreUpdate.Kind decode(Protocol.StoreNewsKind kind) {
 		return switch (kind) {
-			case STORE_NEWS_READ -> StoreNews.Kind.READ;
-			case STORE_NEWS_QUESTION -> StoreNews.Kind.QUESTION;
-			case STORE_NEWS_PASSED_ON -> StoreNews.Kind.PASSED_ON;
+			case STORE_NEWS_READ -> StoreUpdate.Kind.READ;
+			case STORE_NEWS_QUESTION -> StoreUpdate.Kind.QUESTION;
+			case STORE_NEWS_PASSED_ON -> StoreUpdate.Kind.PASSED_ON;
 			case UNRECOGNIZED -> throw new IllegalArgumentException("unknown kind of store update");
 		};
 	}
