--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedWatch.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedWatch.java
@@ -201,7 +201,7 @@
 	public void requestMissed(long revision, long now) {
 		if (now - this.requestedAt >= REQUEST_INTERVAL_MILLIS) {
 			this.requestedAt = now;
-			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreUpdate.Kind.QUESTION));
+			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreUpdate.Kind.REQUEST));
 		}
 	}
 
@@ -212,7 +212,7 @@
 	 * process does not have them
 	 */
 	public Optional<StoreUpdate> createAnswer(StoreUpdate request) {
-		if (request.kind() != StoreUpdate.Kind.QUESTION || this.recorded.isEmpty() || request.from() < this.recordedFrom
+		if (request.kind() != StoreUpdate.Kind.REQUEST || this.recorded.isEmpty() || request.from() < this.recordedFrom
 				|| request.from() >= this.recordedTo) {
 			return Optional.empty();
 		}
@@ -270,7 +270,7 @@
 				recordChanges(received.from(), received.to(), received.changes());
 			}
 			this.localSender.accept(createUpdate(received.from(), received.to(), received.changes(),
-					received.recovering(), StoreUpdate.Kind.PASSED_ON));
+					received.recovering(), StoreUpdate.Kind.FORWARDED));
 		}
 	}
 
@@ -282,7 +282,7 @@
 	 */
 	public void forwardHeartbeat(long revision, long now) {
 		if (isGroupSender(now)) {
-			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreUpdate.Kind.PASSED_ON));
+			this.localSender.accept(createUpdate(revision, revision, List.of(), false, StoreUpdate.Kind.FORWARDED));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreUpdate.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreUpdate.java
@@ -66,10 +66,10 @@
 		READ,
 
 		/** The sender requests all changes after {@code from}. */
-		QUESTION,
+		REQUEST,
 
 		/** The sender forwards it from a watcher of another group to its own group. */
-		PASSED_ON
+		FORWARDED
 
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
@@ -344,7 +344,7 @@
 		this.otherCount = 3;
 		startWatching();
 		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, false), StoreUpdate.Kind.READ, 100, 100, 10);
-		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, true), StoreUpdate.Kind.PASSED_ON, 100, 100, 10);
+		deliverFromOtherGroup(ranked(SharedWatch.ALL_GROUPS, true), StoreUpdate.Kind.FORWARDED, 100, 100, 10);
 		this.follower.watchAnswered(this.lastCall, List.of(), 100, 20);
 		this.timers.run(100);
 		assertThat(this.calls.get(2)).isEqualTo("watch 100 700");
@@ -408,7 +408,7 @@
 		deliver(lowerRanked(), 103, 104, 1_010, change("d", 104));
 		deliver(lowerRanked(), 104, 105, 1_020, change("e", 105));
 		assertThat(this.sent)
-			.containsExactly(new StoreUpdate("me", "z", 100, 100, List.of(), false, StoreUpdate.Kind.QUESTION));
+			.containsExactly(new StoreUpdate("me", "z", 100, 100, List.of(), false, StoreUpdate.Kind.REQUEST));
 		assertThat(this.events).containsExactly("all [a]", "lost rejected", "changed [d]", "changed [e]").inOrder();
 		deliver(lowerRanked(), 100, 105, 1_030, change("c", 102), change("d", 104), change("e", 105));
 		assertThat(this.events).contains("changed [c]");
@@ -568,11 +568,11 @@
 	}
 
 	private static StoreUpdate forwarded(long from, long to, StoreChange... changes) {
-		return new StoreUpdate("me", "z", from, to, List.of(changes), false, StoreUpdate.Kind.PASSED_ON);
+		return new StoreUpdate("me", "z", from, to, List.of(changes), false, StoreUpdate.Kind.FORWARDED);
 	}
 
 	private static StoreUpdate request(long revision) {
-		return new StoreUpdate("two", "z", revision, revision, List.of(), false, StoreUpdate.Kind.QUESTION);
+		return new StoreUpdate("two", "z", revision, revision, List.of(), false, StoreUpdate.Kind.REQUEST);
 	}
 
 	private static StoreUpdate afterOutage(long from, long to, StoreChange... changes) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -274,7 +274,7 @@
 	}
 
 	private void storeUpdateReceived(String from, StoreUpdate update) {
-		if (update.kind() == StoreUpdate.Kind.QUESTION) {
+		if (update.kind() == StoreUpdate.Kind.REQUEST) {
 			this.reading.createAnswer(update).ifPresent((a) -> this.socket.send(List.of(socketAddress(from)), a));
 			return;
 		}
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -447,7 +447,7 @@
 			if (this.ignoresPeers) {
 				return;
 			}
-			if (update.kind() == StoreUpdate.Kind.QUESTION) {
+			if (update.kind() == StoreUpdate.Kind.REQUEST) {
 				this.watch.createAnswer(update)
 					.ifPresent((a) -> MembershipSimulation.this.timers.schedule(MembershipSimulation.this.now + 2,
 							(t) -> from.receive(this, a)));
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StoreNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StoreNewsCodec.java
@@ -37,16 +37,16 @@
 	private static Protocol.StoreNewsKind encode(StoreUpdate.Kind kind) {
 		return switch (kind) {
 			case READ -> Protocol.StoreNewsKind.STORE_NEWS_READ;
-			case QUESTION -> Protocol.StoreNewsKind.STORE_NEWS_QUESTION;
-			case PASSED_ON -> Protocol.StoreNewsKind.STORE_NEWS_PASSED_ON;
+			case REQUEST -> Protocol.StoreNewsKind.STORE_NEWS_QUESTION;
+			case FORWARDED -> Protocol.StoreNewsKind.STORE_NEWS_PASSED_ON;
 		};
 	}
 
 	private static StoreUpdate.Kind decode(Protocol.StoreNewsKind kind) {
 		return switch (kind) {
 			case STORE_NEWS_READ -> StoreUpdate.Kind.READ;
-			case STORE_NEWS_QUESTION -> StoreUpdate.Kind.QUESTION;
-			case STORE_NEWS_PASSED_ON -> StoreUpdate.Kind.PASSED_ON;
+			case STORE_NEWS_QUESTION -> StoreUpdate.Kind.REQUEST;
+			case STORE_NEWS_PASSED_ON -> StoreUpdate.Kind.FORWARDED;
 			case UNRECOGNIZED -> throw new IllegalArgumentException("unknown kind of store update");
 		};
 	}
