--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/FollowOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreCalls.java
@@ -7,7 +7,7 @@
  *
  * @since 0.2
  */
-public interface FollowOutputs {
+public interface StoreCalls {
 
 	/**
 	 * Read a page of items.
@@ -34,6 +34,6 @@
 	/**
 	 * Cancel the open call.
 	 */
-	void abandon();
+	void cancel();
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -57,7 +57,7 @@
 
 	private final FollowSettings settings;
 
-	private final FollowOutputs outputs;
+	private final StoreCalls outputs;
 
 	private final StoreListener listener;
 
@@ -119,7 +119,7 @@
 	 * @param backoff the delays after failed calls
 	 * @param watch shares the watch with other processes
 	 */
-	public StoreFollower(FollowSettings settings, FollowOutputs outputs, StoreListener listener, Timers timers,
+	public StoreFollower(FollowSettings settings, StoreCalls outputs, StoreListener listener, Timers timers,
 			Backoff backoff, SharedWatch watch) {
 		this.settings = settings;
 		this.outputs = outputs;
@@ -273,7 +273,7 @@
 	}
 
 	private void restartWatch(long now) {
-		this.outputs.abandon();
+		this.outputs.cancel();
 		this.failures = Math.max(1, this.failures);
 		watch(now);
 	}
@@ -545,7 +545,7 @@
 		boolean isIncomplete = this.mustReadAgain && now - this.readStartedAt >= STALL_TIMEOUT_MILLIS;
 		if (isIncomplete || this.stalledHeartbeats > 1) {
 			this.stalledHeartbeats = 0;
-			this.outputs.abandon();
+			this.outputs.cancel();
 			readAll(now);
 		}
 	}
@@ -586,7 +586,7 @@
 
 	private long beginCall(long answerDue, long now) {
 		return this.call.begin(answerDue, this.settings.answerMillis(), (t) -> {
-			this.outputs.abandon();
+			this.outputs.cancel();
 			failed(this.call.number(), "no answer before the timeout", t);
 		}, now);
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
@@ -143,7 +143,7 @@
 
 	}
 
-	private final class Process implements FollowOutputs {
+	private final class Process implements StoreCalls {
 
 		private final StoreFollower follower;
 
@@ -231,7 +231,7 @@
 		}
 
 		@Override
-		public void abandon() {
+		public void cancel() {
 			cancel();
 			this.call = -1;
 			this.watchedRevision = Long.MAX_VALUE;
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/StoreFollowerTests.java
@@ -585,7 +585,7 @@
 		this.follower.updateReceived(update, now);
 	}
 
-	private final class Calls implements FollowOutputs {
+	private final class Calls implements StoreCalls {
 
 		@Override
 		public void readPage(long call, Optional<String> afterKey) {
@@ -605,7 +605,7 @@
 		}
 
 		@Override
-		public void abandon() {
+		public void cancel() {
 			StoreFollowerTests.this.calls.add("abandon");
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/ServingSource.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/ServingSource.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.follow.FollowOutputs;
+import dev.laneworks.core.follow.StoreCalls;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.follow.StoreItem;
 import dev.laneworks.core.serving.ServingPlan;
@@ -23,7 +23,7 @@
 	 * @param follower the supplier of the follower that receives the answers
 	 * @return the outputs of the follower
 	 */
-	FollowOutputs calls(Supplier<StoreFollower> follower);
+	StoreCalls calls(Supplier<StoreFollower> follower);
 
 	/**
 	 * Determine whether a key holds the plan.
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -21,9 +21,9 @@
 import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetRun;
-import dev.laneworks.core.follow.FollowOutputs;
 import dev.laneworks.core.follow.FollowSettings;
 import dev.laneworks.core.follow.SharedWatch;
+import dev.laneworks.core.follow.StoreCalls;
 import dev.laneworks.core.follow.StoreChange;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.follow.StoreItem;
@@ -491,7 +491,7 @@
 
 	}
 
-	private final class Source implements ServingSource, FollowOutputs {
+	private final class Source implements ServingSource, StoreCalls {
 
 		private final Entry entry;
 
@@ -504,7 +504,7 @@
 		}
 
 		@Override
-		public FollowOutputs calls(Supplier<StoreFollower> followerSupplier) {
+		public StoreCalls calls(Supplier<StoreFollower> followerSupplier) {
 			this.follower = followerSupplier;
 			return this;
 		}
@@ -591,7 +591,7 @@
 		}
 
 		@Override
-		public void abandon() {
+		public void cancel() {
 			// Late answers are ignored by their call number.
 		}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
@@ -17,7 +17,7 @@
 import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
-import dev.laneworks.core.follow.FollowOutputs;
+import dev.laneworks.core.follow.StoreCalls;
 import dev.laneworks.core.follow.StoreChange;
 import dev.laneworks.core.follow.StoreFollower;
 import dev.laneworks.core.follow.StoreItem;
@@ -269,7 +269,7 @@
 	private static final class Plans implements ServingSource {
 
 		@Override
-		public FollowOutputs calls(Supplier<StoreFollower> follower) {
+		public StoreCalls calls(Supplier<StoreFollower> follower) {
 			throw new UnsupportedOperationException();
 		}
 
