--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -237,7 +237,7 @@
 			expectChange(now);
 		}
 		if (isBack && (!this.call.isOpen()
-				|| this.call.isWatchIdle(this.settings.gapMillis() + LagTracker.OVERDUE_MILLIS, now))) {
+				|| this.call.isWatchIdle(this.settings.minIntervalMillis() + LagTracker.OVERDUE_MILLIS, now))) {
 			restartWatch(now);
 		}
 	}
@@ -317,7 +317,7 @@
 		if (this.cache.revision() > before) {
 			this.watch.sendChanges(before, this.cache.revision(), changes, isRecovering(now));
 		}
-		long next = Math.max(now, this.call.watchStartedAt() + this.settings.gapMillis());
+		long next = Math.max(now, this.call.watchStartedAt() + this.settings.minIntervalMillis());
 		this.call.schedule(next, this::watchUnlessDelegated);
 	}
 
@@ -425,7 +425,7 @@
 	 */
 	public void historyCompacted(long number, long now) {
 		if (completeCall(number, now)) {
-			this.call.schedule(now + this.backoff.spread(this.settings.gapMillis()), this::readAll);
+			this.call.schedule(now + this.backoff.spread(this.settings.minIntervalMillis()), this::readAll);
 		}
 	}
 
@@ -573,7 +573,7 @@
 	private void watch(long now) {
 		// The first watch after a failure is short, to detect soon whether the store is
 		// back.
-		long wait = (this.failures > 0) ? this.settings.gapMillis() : watchWaitMillis();
+		long wait = (this.failures > 0) ? this.settings.minIntervalMillis() : watchWaitMillis();
 		long number = beginCall(now + wait + this.settings.answerMillis(), now);
 		this.call.markWatch(wait, now);
 		this.outputs.watch(number, this.cache.revision(), wait);
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -527,7 +527,7 @@
 		@Override
 		public void watch(long call, long since, long waitMillis) {
 			this.watchCall = call;
-			if (this.entry.losesNextLongWatch && waitMillis > SETTINGS.gapMillis()) {
+			if (this.entry.losesNextLongWatch && waitMillis > SETTINGS.minIntervalMillis()) {
 				this.entry.losesNextLongWatch = false;
 				MembershipSimulation.this.calls++;
 				return;
