--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StoreFollower.java
@@ -173,7 +173,7 @@
 	}
 
 	private void applyAll(List<StoreItem> all, long at, long now) {
-		boolean isOtherEra = this.hasReadAll && !StorePosition.areOfOneEra(this.cache.revision(), at);
+		boolean isOtherEra = this.hasReadAll && !StorePosition.isSameEra(this.cache.revision(), at);
 		List<StoreChange> missed = this.hasReadAll ? this.cache.missedChanges(all, at) : List.of();
 		if (isOtherEra) {
 			this.recoveredAt = now;
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/StorePosition.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/StorePosition.java
@@ -9,7 +9,7 @@
  * reports no era is in era 0, and its positions equal its revisions.
  *
  * @param era how often the store was restored from a copy, as the store reports it; from
- * 0 to {@value #MOST_ERA}
+ * 0 to {@value #MAX_ERA}
  * @param revision the revision, from 0 to 2^44 - 1
  * @since 0.4
  */
@@ -18,13 +18,13 @@
 	private static final int REVISION_BITS = 44;
 
 	/** The highest era that can be encoded. */
-	public static final int MOST_ERA = (1 << 18) - 1;
+	public static final int MAX_ERA = (1 << 18) - 1;
 
 	/** The highest revision that can be encoded. */
-	public static final long MOST_REVISION = (1L << REVISION_BITS) - 1;
+	public static final long MAX_REVISION = (1L << REVISION_BITS) - 1;
 
 	public StorePosition {
-		if (era < 0 || era > MOST_ERA || revision < 0 || revision > MOST_REVISION) {
+		if (era < 0 || era > MAX_ERA || revision < 0 || revision > MAX_REVISION) {
 			throw new IllegalArgumentException("there is no revision " + revision + " of era " + era);
 		}
 	}
@@ -35,7 +35,7 @@
 	 * @return the position
 	 */
 	public static StorePosition of(long number) {
-		return new StorePosition(number >>> REVISION_BITS, number & MOST_REVISION);
+		return new StorePosition(number >>> REVISION_BITS, number & MAX_REVISION);
 	}
 
 	/**
@@ -52,7 +52,7 @@
 	 * @param other the second position; negative for none
 	 * @return {@code true} if the store was not restored between them
 	 */
-	public static boolean areOfOneEra(long one, long other) {
+	public static boolean isSameEra(long one, long other) {
 		return one >> REVISION_BITS == other >> REVISION_BITS;
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/StorePositionTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/StorePositionTests.java
@@ -23,18 +23,18 @@
 		assertThat(afterRestore).isGreaterThan(beforeRestore);
 		assertThat(StorePosition.of(afterRestore)).isEqualTo(new StorePosition(2, 101));
 		assertThat(StorePosition.of(afterRestore).toString()).isEqualTo("101 of era 2");
-		assertThat(StorePosition.areOfOneEra(beforeRestore, afterRestore)).isFalse();
-		assertThat(StorePosition.areOfOneEra(beforeRestore, beforeRestore + 9)).isTrue();
-		assertThat(StorePosition.areOfOneEra(-1, 0)).isFalse();
+		assertThat(StorePosition.isSameEra(beforeRestore, afterRestore)).isFalse();
+		assertThat(StorePosition.isSameEra(beforeRestore, beforeRestore + 9)).isTrue();
+		assertThat(StorePosition.isSameEra(-1, 0)).isFalse();
 	}
 
 	@Test
 	void encodesTheHighestPosition() {
-		StorePosition highest = new StorePosition(StorePosition.MOST_ERA, StorePosition.MOST_REVISION);
+		StorePosition highest = new StorePosition(StorePosition.MAX_ERA, StorePosition.MAX_REVISION);
 		assertThat(StorePosition.of(highest.number())).isEqualTo(highest);
 		assertThat(highest.number()).isGreaterThan(0L);
-		assertThrows(IllegalArgumentException.class, () -> new StorePosition(StorePosition.MOST_ERA + 1, 0));
-		assertThrows(IllegalArgumentException.class, () -> new StorePosition(0, StorePosition.MOST_REVISION + 1));
+		assertThrows(IllegalArgumentException.class, () -> new StorePosition(StorePosition.MAX_ERA + 1, 0));
+		assertThrows(IllegalArgumentException.class, () -> new StorePosition(0, StorePosition.MAX_REVISION + 1));
 	}
 
 }
