--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/DrainingTargets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/DrainingTargets.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Records which targets reported that they are draining.
@@ -34,10 +34,10 @@
 	 * The time of the latest report for each incarnation, from itself or from another
 	 * entry.
 	 */
-	private final Map<TargetRun, Long> lastRecordedAt = new HashMap<>();
+	private final Map<TargetIncarnation, Long> lastRecordedAt = new HashMap<>();
 
 	/** The time of the latest report of each incarnation to this entry. */
-	private final Map<TargetRun, Long> lastReportedAt = new HashMap<>();
+	private final Map<TargetIncarnation, Long> lastReportedAt = new HashMap<>();
 
 	/**
 	 * Record that a target reported to this entry that it is draining.
@@ -45,7 +45,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if this is its first report, which must be announced at once
 	 */
-	boolean recordOwnReport(TargetRun target, long now) {
+	boolean recordOwnReport(TargetIncarnation target, long now) {
 		recordDraining(target, now);
 		return this.lastReportedAt.put(target, now) == null;
 	}
@@ -56,13 +56,13 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if this was not recorded before
 	 */
-	boolean recordDraining(TargetRun target, long now) {
+	boolean recordDraining(TargetIncarnation target, long now) {
 		this.lastRecordedAt.values().removeIf((t) -> now - t > RETENTION_MILLIS);
 		this.lastReportedAt.keySet().retainAll(this.lastRecordedAt.keySet());
 		return this.lastRecordedAt.put(target, now) == null;
 	}
 
-	boolean contains(TargetRun target) {
+	boolean contains(TargetIncarnation target) {
 		return !this.lastRecordedAt.isEmpty() && this.lastRecordedAt.containsKey(target);
 	}
 
@@ -71,11 +71,11 @@
 	}
 
 	// The incarnations to announce to others, the most recent first.
-	List<TargetRun> toAnnounce(long now) {
+	List<TargetIncarnation> toAnnounce(long now) {
 		return this.lastReportedAt.entrySet()
 			.stream()
 			.filter((e) -> now - e.getValue() <= ANNOUNCE_MILLIS)
-			.sorted(Map.Entry.<TargetRun, Long>comparingByValue().reversed())
+			.sorted(Map.Entry.<TargetIncarnation, Long>comparingByValue().reversed())
 			.limit(MAX_ANNOUNCED)
 			.map(Map.Entry::getKey)
 			.toList();
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackoffs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackoffs.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Backoff periods that targets asked of this entry when they rejected a request.
@@ -22,7 +22,7 @@
 	 */
 	private static final int MAX_RETURNS = 1;
 
-	private final Map<TargetRun, Period> byIncarnation = new HashMap<>();
+	private final Map<TargetIncarnation, Period> byIncarnation = new HashMap<>();
 
 	/**
 	 * Determine whether the length of a period is valid.
@@ -40,9 +40,9 @@
 	 * @param millis the length in milliseconds, which must be valid
 	 * @param now the current time in milliseconds
 	 */
-	void recordBackoff(TargetRun target, long millis, long now) {
+	void recordBackoff(TargetIncarnation target, long millis, long now) {
 		removeExpired(now);
-		Period period = this.byIncarnation.computeIfAbsent(target, (run) -> new Period());
+		Period period = this.byIncarnation.computeIfAbsent(target, (incarnation) -> new Period());
 		period.endsAt = Math.max(period.endsAt, now + millis);
 	}
 
@@ -52,7 +52,7 @@
 	 * @param now the current time in milliseconds
 	 * @return milliseconds; 0 if there is none
 	 */
-	long remainingMillis(TargetRun target, long now) {
+	long remainingMillis(TargetIncarnation target, long now) {
 		Period period = this.byIncarnation.get(target);
 		return (period != null) ? Math.max(0, period.endsAt - now) : 0;
 	}
@@ -63,12 +63,12 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code false} if the limit of returns within the current period is reached
 	 */
-	boolean takesReturn(TargetRun target, long now) {
+	boolean takesReturn(TargetIncarnation target, long now) {
 		return remainingMillis(target, now) == 0 || this.byIncarnation.get(target).returns < MAX_RETURNS;
 	}
 
 	// Counts a request that is sent despite the backoff.
-	void sent(TargetRun target, long now) {
+	void sent(TargetIncarnation target, long now) {
 		if (remainingMillis(target, now) > 0) {
 			this.byIncarnation.get(target).returns++;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
@@ -12,7 +12,7 @@
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.gossip.BackpressureUpdate;
 
 /**
@@ -28,7 +28,7 @@
 
 	private final TargetRateLimits limits;
 
-	private final Consumer<TargetRun> announcer;
+	private final Consumer<TargetIncarnation> announcer;
 
 	private final AuditSink audit;
 
@@ -37,7 +37,7 @@
 	private final DrainingTargets draining = new DrainingTargets();
 
 	/** Incarnations of targets that sent an invalid signal. */
-	private final Set<TargetRun> invalid = new HashSet<>();
+	private final Set<TargetIncarnation> invalid = new HashSet<>();
 
 	/**
 	 * Create a record without any back-pressure.
@@ -46,7 +46,7 @@
 	 * at once
 	 * @param audit receives an event for each change
 	 */
-	public TargetBackpressure(TargetRateLimits limits, Consumer<TargetRun> announcer, AuditSink audit) {
+	public TargetBackpressure(TargetRateLimits limits, Consumer<TargetIncarnation> announcer, AuditSink audit) {
 		this.announcer = Objects.requireNonNull(announcer, "toTell must not be null");
 		this.limits = Objects.requireNonNull(limits, "limits must not be null");
 		this.audit = Objects.requireNonNull(audit, "audit must not be null");
@@ -75,7 +75,7 @@
 	 * still name one that is not
 	 * @param now the current time in milliseconds
 	 */
-	public void recordGossiped(BackpressureUpdate signals, Predicate<TargetRun> isListed, long now) {
+	public void recordGossiped(BackpressureUpdate signals, Predicate<TargetIncarnation> isListed, long now) {
 		signals.limits()
 			.stream()
 			.filter((l) -> isListed.test(l.target()))
@@ -187,7 +187,7 @@
 		return this.limits.count();
 	}
 
-	private void recordGossipedDraining(TargetRun target, long now) {
+	private void recordGossipedDraining(TargetIncarnation target, long now) {
 		if (this.draining.recordDraining(target, now)) {
 			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target.id(), target.id(),
 					"reported to another entry that it is leaving: no new requests are sent there"));
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
@@ -10,7 +10,7 @@
 import java.util.function.ToDoubleFunction;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.gossip.RateLimitUpdate;
 
 /**
@@ -77,7 +77,7 @@
 
 	private final ToDoubleFunction<String> phase;
 
-	private final Map<TargetRun, Limit> byIncarnation = new HashMap<>();
+	private final Map<TargetIncarnation, Limit> byIncarnation = new HashMap<>();
 
 	/**
 	 * Create a record without any limit.
@@ -134,9 +134,9 @@
 		return update(advertised.target(), advertised.perSecond(), reportedAt);
 	}
 
-	private boolean update(TargetRun target, OptionalDouble perSecond, long reportedAt) {
+	private boolean update(TargetIncarnation target, OptionalDouble perSecond, long reportedAt) {
 		this.byIncarnation.values().removeIf((l) -> l.isExpired(reportedAt));
-		Limit limit = this.byIncarnation.computeIfAbsent(target, (run) -> new Limit());
+		Limit limit = this.byIncarnation.computeIfAbsent(target, (incarnation) -> new Limit());
 		boolean isNew = !limit.perSecond.equals(perSecond);
 		limit.perSecond = perSecond;
 		limit.reportedAt = reportedAt;
@@ -196,7 +196,7 @@
 	 * @param target the incarnation of the target
 	 * @param now the current time in milliseconds
 	 */
-	void recordUnlisted(TargetRun target, long now) {
+	void recordUnlisted(TargetIncarnation target, long now) {
 		Limit limit = this.byIncarnation.get(target);
 		if (limit != null) {
 			limit.unlistedAt = OptionalLong.of(now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/EndedIncarnations.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/EndedIncarnations.java
@@ -18,7 +18,7 @@
 	 */
 	private static final int MAX_INCARNATIONS = 1_024;
 
-	private final Map<TargetRun, Ended> ended = new LinkedHashMap<>();
+	private final Map<TargetIncarnation, Ended> ended = new LinkedHashMap<>();
 
 	private long count;
 
@@ -30,8 +30,8 @@
 		}
 	}
 
-	boolean contains(TargetRun run) {
-		return this.ended.containsKey(run);
+	boolean contains(TargetIncarnation incarnation) {
+		return this.ended.containsKey(incarnation);
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/ListedTarget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/ListedTarget.java
@@ -77,8 +77,8 @@
 	 * Return the incarnation that this entry describes.
 	 * @return the incarnation
 	 */
-	public TargetRun run() {
-		return new TargetRun(this.id, this.startMillis);
+	public TargetIncarnation run() {
+		return new TargetIncarnation(this.id, this.startMillis);
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -302,22 +302,22 @@
 
 	/**
 	 * Handle a target's rejection of a request because it accepts no new ones.
-	 * @param run the incarnation that rejected the request
+	 * @param incarnation the incarnation that rejected the request
 	 */
-	public void refusedWork(TargetRun run) {
-		markDraining(run, LeavingCause.REFUSED);
+	public void refusedWork(TargetIncarnation incarnation) {
+		markDraining(incarnation, LeavingCause.REFUSED);
 	}
 
 	/**
 	 * Handle a target's report that it is draining, made to this process or to another.
-	 * @param run the incarnation that is draining
+	 * @param incarnation the incarnation that is draining
 	 */
-	public void saidLeaving(TargetRun run) {
-		markDraining(run, LeavingCause.SAID_SO_WHEN_ASKED);
+	public void saidLeaving(TargetIncarnation incarnation) {
+		markDraining(incarnation, LeavingCause.SAID_SO_WHEN_ASKED);
 	}
 
-	private void markDraining(TargetRun run, LeavingCause cause) {
-		find(run.id()).filter((t) -> t.run().equals(run) && this.draining.add(run.id()))
+	private void markDraining(TargetIncarnation incarnation, LeavingCause cause) {
+		find(incarnation.id()).filter((t) -> t.run().equals(incarnation) && this.draining.add(incarnation.id()))
 			.ifPresent((t) -> notifyListener(() -> this.listener.leaving(t, cause)));
 	}
 
@@ -413,11 +413,11 @@
 
 	/**
 	 * Determine whether an incarnation of a target is the known one.
-	 * @param run the incarnation
+	 * @param incarnation the incarnation
 	 * @return {@code false} if it is gone, not yet listed or has been replaced
 	 */
-	public boolean isKnownRun(TargetRun run) {
-		return find(run.id()).filter((k) -> k.run().equals(run)).isPresent();
+	public boolean isKnownRun(TargetIncarnation incarnation) {
+		return find(incarnation.id()).filter((k) -> k.run().equals(incarnation)).isPresent();
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetRun.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetIncarnation.java
@@ -16,9 +16,9 @@
  * it is not known
  * @since 0.3
  */
-public record TargetRun(String id, OptionalLong startMillis) {
+public record TargetIncarnation(String id, OptionalLong startMillis) {
 
-	public TargetRun {
+	public TargetIncarnation {
 		Objects.requireNonNull(id, "id must not be null");
 		Objects.requireNonNull(startMillis, "startMillis must not be null");
 	}
@@ -28,8 +28,8 @@
 	 * @param id the target's id
 	 * @return the incarnation
 	 */
-	public static TargetRun of(String id) {
-		return new TargetRun(id, OptionalLong.empty());
+	public static TargetIncarnation of(String id) {
+		return new TargetIncarnation(id, OptionalLong.empty());
 	}
 
 	/**
@@ -38,8 +38,8 @@
 	 * @param startMillis the start time in milliseconds of the target's own clock
 	 * @return the incarnation
 	 */
-	public static TargetRun of(String id, long startMillis) {
-		return new TargetRun(id, OptionalLong.of(startMillis));
+	public static TargetIncarnation of(String id, long startMillis) {
+		return new TargetIncarnation(id, OptionalLong.of(startMillis));
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
@@ -11,7 +11,7 @@
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Rate limit on the requests that this entry sends to cold targets, as its share of a
@@ -58,7 +58,7 @@
 
 	private final AuditSink audit;
 
-	private final Map<TargetRun, ColdTarget> byRun = new HashMap<>();
+	private final Map<TargetIncarnation, ColdTarget> byRun = new HashMap<>();
 
 	/**
 	 * Create the limits, with no target cold.
@@ -91,7 +91,7 @@
 			this.byRun.remove(target.run());
 			return;
 		}
-		ColdTarget state = this.byRun.computeIfAbsent(target.run(), (run) -> new ColdTarget());
+		ColdTarget state = this.byRun.computeIfAbsent(target.run(), (incarnation) -> new ColdTarget());
 		if (now >= state.until) {
 			record(target, "cold for " + millis + " ms, limited to "
 					+ this.bound.requests(this.coldPerSecond.applyAsDouble(target.service())) + " requests a second");
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -13,7 +13,7 @@
 import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.poison.BrokenConnections;
 import dev.laneworks.core.poison.RequestDigest;
 import dev.laneworks.core.poison.SuspectRequests;
@@ -62,7 +62,7 @@
 	private final boolean enabled;
 
 	/** Incarnations that announced their shutdown. */
-	private final Set<TargetRun> announcedShutdown = new HashSet<>();
+	private final Set<TargetIncarnation> announcedShutdown = new HashSet<>();
 
 	private final BrokenConnections brokenConnections = new BrokenConnections();
 
@@ -86,14 +86,14 @@
 
 	private OptionalLong quarantineLeftMillis(RequestDigest digest, long now) {
 		OptionalLong left = this.suspects.remainingQuarantineMillis(digest, now);
-		Set<TargetRun> runs = this.suspects.crashedTargets(digest);
+		Set<TargetIncarnation> incarnations = this.suspects.crashedTargets(digest);
 		int crashesMissing = this.suspects.remainingCrashes(digest);
-		if (left.isPresent() || runs.isEmpty() || crashesMissing == 0) {
+		if (left.isPresent() || incarnations.isEmpty() || crashesMissing == 0) {
 			return left;
 		}
 		long possiblyCrashed = this.brokenConnections.targetsOf(digest, now)
 			.stream()
-			.filter((r) -> !runs.contains(r))
+			.filter((r) -> !incarnations.contains(r))
 			.count();
 		return (possiblyCrashed >= crashesMissing) ? OptionalLong.of(PENDING_CHECK_RETRY_AFTER_MILLIS)
 				: OptionalLong.empty();
@@ -114,7 +114,7 @@
 		}
 		String runs = this.suspects.crashedTargets(digest)
 			.stream()
-			.map(TargetRun::id)
+			.map(TargetIncarnation::id)
 			.sorted()
 			.collect(Collectors.joining(", "));
 		this.ending.refuse(call, RefusalReason.QUARANTINED,
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -7,7 +7,7 @@
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.serving.EngineSpec;
 import dev.laneworks.core.time.Timers;
 
@@ -75,7 +75,7 @@
 
 	private final Resumption resumption;
 
-	private final Map<TargetRun, MoveQueue> queues = new HashMap<>();
+	private final Map<TargetIncarnation, MoveQueue> queues = new HashMap<>();
 
 	StreamMover(TargetChooser chooser, TargetBeliefs estimates, StandbyCopies standbys, CopyTurn turn, Timers timers,
 			DispatchOutputs outputs, AuditSink audit, Resumption resumption) {
@@ -97,7 +97,7 @@
 		call.copy(new Copying(source));
 		long noticedAt = this.estimates.of(source).leavingSince().orElse(now);
 		MoveQueue queue = this.queues.computeIfAbsent(source.run(),
-				(run) -> new MoveQueue(source, noticedAt, this.estimates));
+				(incarnation) -> new MoveQueue(source, noticedAt, this.estimates));
 		queue.add(call);
 		// Deferred, so that all generations of the engine are queued before the first is
 		// selected.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
@@ -9,7 +9,7 @@
 import java.util.random.RandomGenerator;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.gossip.WorkAtTarget;
 
 /**
@@ -26,9 +26,9 @@
 	/** Lower bound of the random factor of a backoff; the upper bound is one more. */
 	private static final double MIN_BACKOFF_FACTOR = 0.5;
 
-	private final Map<TargetRun, TargetBelief> byIncarnation = new HashMap<>();
+	private final Map<TargetIncarnation, TargetBelief> byIncarnation = new HashMap<>();
 
-	private final Function<TargetRun, Optional<WorkAtTarget>> others;
+	private final Function<TargetIncarnation, Optional<WorkAtTarget>> others;
 
 	private final RandomGenerator random;
 
@@ -44,7 +44,7 @@
 	 * none is known
 	 * @param random the source of the backoff spread between processes
 	 */
-	public TargetBeliefs(Function<TargetRun, Optional<WorkAtTarget>> others, RandomGenerator random) {
+	public TargetBeliefs(Function<TargetIncarnation, Optional<WorkAtTarget>> others, RandomGenerator random) {
 		this.others = others;
 		this.random = random;
 	}
@@ -224,7 +224,7 @@
 	 * @return the recorded state, never {@code null}
 	 */
 	public TargetBelief of(ListedTarget target) {
-		return this.byIncarnation.computeIfAbsent(target.run(), (run) -> new TargetBelief(target));
+		return this.byIncarnation.computeIfAbsent(target.run(), (incarnation) -> new TargetBelief(target));
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -14,7 +14,7 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.routing.Rendezvous;
 import dev.laneworks.core.time.Timers;
 
@@ -63,7 +63,7 @@
 	private final LoadUpdateWriter updates;
 
 	/** The targets at which the work of this entry changed since the last update. */
-	private final Set<TargetRun> changedTargets = new HashSet<>();
+	private final Set<TargetIncarnation> changedTargets = new HashSet<>();
 
 	/** The widest reach of a change that was not sent yet. */
 	private UpdateScope pendingScope = UpdateScope.NEAR;
@@ -130,7 +130,7 @@
 	 * @param requiredScope the entries that must receive the change
 	 * @param now the current time in milliseconds
 	 */
-	public void workChanged(TargetRun target, UpdateScope requiredScope, long now) {
+	public void workChanged(TargetIncarnation target, UpdateScope requiredScope, long now) {
 		if (this.updates.isEnding()) {
 			return;
 		}
@@ -179,7 +179,7 @@
 	 * @param target the incarnation of the target
 	 * @return the sum, which may be zero; empty while no other entry is known
 	 */
-	public Optional<WorkAtTarget> workOfOthers(TargetRun target) {
+	public Optional<WorkAtTarget> workOfOthers(TargetIncarnation target) {
 		return (this.known.size() > 0) ? Optional.of(this.known.workAt(target)) : Optional.empty();
 	}
 
@@ -209,7 +209,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if it is the turn of this entry
 	 */
-	public boolean mayStartMove(TargetRun target, long sinceNoticeMillis, long now) {
+	public boolean mayStartMove(TargetIncarnation target, long sinceNoticeMillis, long now) {
 		long key = Rendezvous.hash(target.id());
 		long own = Rendezvous.weight(key, this.instance);
 		for (Peer peer : this.known.all().values()) {
@@ -228,7 +228,7 @@
 		return true;
 	}
 
-	private boolean hasLostTurn(Peer peer, TargetRun target, long now) {
+	private boolean hasLostTurn(Peer peer, TargetIncarnation target, long now) {
 		return peer.silentMillis(now) > this.settings.maxTurnSilenceMillis() || peer.copyingFor(target, now) > MAX_TURN_MILLIS;
 	}
 
@@ -253,7 +253,7 @@
 	 * @param target the incarnation of the target
 	 * @return {@code true} if a copy is in progress according to the latest updates
 	 */
-	public boolean isCopying(TargetRun target) {
+	public boolean isCopying(TargetIncarnation target) {
 		return this.known.workAt(target).copying();
 	}
 
@@ -375,13 +375,13 @@
 			return;
 		}
 		this.nextSendAt = Long.MAX_VALUE;
-		Set<TargetRun> sent = Set.copyOf(this.changedTargets);
+		Set<TargetIncarnation> sent = Set.copyOf(this.changedTargets);
 		send(receivers(sent), workAt(sent), now);
 		this.changedTargets.clear();
 		this.pendingScope = UpdateScope.NEAR;
 	}
 
-	private Collection<String> receivers(Set<TargetRun> sent) {
+	private Collection<String> receivers(Set<TargetIncarnation> sent) {
 		return switch (this.pendingScope) {
 			case NEAR -> this.selector.sampleNear();
 			case INVOLVED -> this.selector.concernedBy(sent);
@@ -392,7 +392,7 @@
 
 	// Keeps this entry from losing its turn while other entries wait for its copies.
 	private void announceMoves(long now) {
-		Set<TargetRun> moving = this.outputs.localWork()
+		Set<TargetIncarnation> moving = this.outputs.localWork()
 			.stream()
 			.filter((w) -> w.copying() || w.toMove() > 0)
 			.map(WorkAtTarget::target)
@@ -420,7 +420,7 @@
 		return this.updates.ofAllWork(againMillis, this.selector.peersToAdvertise());
 	}
 
-	private LoadUpdate workAt(Set<TargetRun> targets) {
+	private LoadUpdate workAt(Set<TargetIncarnation> targets) {
 		return this.updates.ofWorkAt(targets, this.settings.heartbeatMillis());
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/GossipOutputs.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Callbacks through which {@link Gossip} sends updates and reads the state of its entry.
@@ -22,7 +22,7 @@
 	 * Handle a report of another entry that a target is draining.
 	 * @param target the incarnation of the target
 	 */
-	void targetDraining(TargetRun target);
+	void targetDraining(TargetIncarnation target);
 
 	/**
 	 * Handle back-pressure signals that another entry passes on.
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Builds the load updates of this entry and numbers them.
@@ -69,8 +69,8 @@
 	 * milliseconds
 	 * @return the update, which lists targets without work as well
 	 */
-	LoadUpdate ofWorkAt(Set<TargetRun> targets, long againMillis) {
-		Map<TargetRun, WorkAtTarget> work = new HashMap<>();
+	LoadUpdate ofWorkAt(Set<TargetIncarnation> targets, long againMillis) {
+		Map<TargetIncarnation, WorkAtTarget> work = new HashMap<>();
 		targets.forEach((t) -> work.put(t, WorkAtTarget.none(t)));
 		this.outputs.localWork()
 			.stream()
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Latest state of another entry, as received in its updates.
@@ -22,10 +22,10 @@
 	/** The tolerated delay of a heartbeat, in milliseconds. */
 	private static final long HEARTBEAT_TOLERANCE_MILLIS = 200;
 
-	private final Map<TargetRun, WorkAtTarget> work = new HashMap<>();
+	private final Map<TargetIncarnation, WorkAtTarget> work = new HashMap<>();
 
 	/** The time since which consecutive updates report a copy from or to a target. */
-	private final Map<TargetRun, Long> copyingSince = new HashMap<>();
+	private final Map<TargetIncarnation, Long> copyingSince = new HashMap<>();
 
 	private LoadUpdate latest;
 
@@ -39,8 +39,8 @@
 	 * @param now the current time in milliseconds
 	 * @return the incarnations of the targets at which the work may have changed
 	 */
-	Set<TargetRun> apply(LoadUpdate update, long now) {
-		Set<TargetRun> affected = new HashSet<>();
+	Set<TargetIncarnation> apply(LoadUpdate update, long now) {
+		Set<TargetIncarnation> affected = new HashSet<>();
 		if (!update.partial()) {
 			affected.addAll(this.work.keySet());
 			this.work.clear();
@@ -57,7 +57,7 @@
 		return affected;
 	}
 
-	private void trackCopying(TargetRun target, long now) {
+	private void trackCopying(TargetIncarnation target, long now) {
 		if (reportedWork(target).filter(WorkAtTarget::copying).isPresent()) {
 			this.copyingSince.putIfAbsent(target, now);
 		}
@@ -67,7 +67,7 @@
 	}
 
 	// The duration of its copies from or to a target in milliseconds; 0 without a copy.
-	long copyingFor(TargetRun target, long now) {
+	long copyingFor(TargetIncarnation target, long now) {
 		return now - this.copyingSince.getOrDefault(target, now);
 	}
 
@@ -104,15 +104,15 @@
 	}
 
 	// Its latest reported work at a target; empty if it reported none.
-	Optional<WorkAtTarget> reportedWork(TargetRun target) {
+	Optional<WorkAtTarget> reportedWork(TargetIncarnation target) {
 		return Optional.ofNullable(this.work.get(target));
 	}
 
-	boolean worksAtAnyOf(Collection<TargetRun> targets) {
+	boolean worksAtAnyOf(Collection<TargetIncarnation> targets) {
 		return targets.stream().anyMatch((t) -> reportedWork(t).filter((w) -> w.requests() > 0).isPresent());
 	}
 
-	Set<TargetRun> targets() {
+	Set<TargetIncarnation> targets() {
 		return this.work.keySet();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Table of the known peers by address, with totals of their work by target.
@@ -18,7 +18,7 @@
 
 	private final Map<String, Peer> peers = new TreeMap<>();
 
-	private final Map<TargetRun, WorkAtTarget> totals = new HashMap<>();
+	private final Map<TargetIncarnation, WorkAtTarget> totals = new HashMap<>();
 
 	/**
 	 * Peers that were removed. Their use of the retry budget counts for one more window.
@@ -75,7 +75,7 @@
 	}
 
 	// The total work at a target; zero if there is none.
-	WorkAtTarget workAt(TargetRun target) {
+	WorkAtTarget workAt(TargetIncarnation target) {
 		return this.totals.getOrDefault(target, WorkAtTarget.none(target));
 	}
 
@@ -98,8 +98,8 @@
 			.reduce(new RetryBudgetUsage(service, 0, 0), RetryBudgetUsage::plus));
 	}
 
-	private void updateTotals(Set<TargetRun> targets) {
-		for (TargetRun target : targets) {
+	private void updateTotals(Set<TargetIncarnation> targets) {
+		for (TargetIncarnation target : targets) {
 			Optional<WorkAtTarget> sum = this.peers.values()
 				.stream()
 				.flatMap((p) -> p.reportedWork(target).stream())
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/RateLimitUpdate.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/RateLimitUpdate.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 import java.util.OptionalDouble;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Latest rate limit of a target, as one entry passes it on to others.
@@ -14,7 +14,7 @@
  * @param ageMillis the time since the target reported it, in milliseconds
  * @since 0.4
  */
-public record RateLimitUpdate(TargetRun target, OptionalDouble perSecond, long ageMillis) {
+public record RateLimitUpdate(TargetIncarnation target, OptionalDouble perSecond, long ageMillis) {
 
 	public RateLimitUpdate {
 		Objects.requireNonNull(target, "target must not be null");
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
@@ -12,7 +12,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Selects the peers that receive each gossip update.
@@ -68,14 +68,14 @@
 	}
 
 	// A sample of the near peers, and all peers with work at any of the targets.
-	Set<String> concernedBy(Set<TargetRun> targets) {
+	Set<String> concernedBy(Set<TargetIncarnation> targets) {
 		Set<String> concerned = new HashSet<>(sampleNear());
 		concerned.addAll(addressesWhere((p) -> p.worksAtAnyOf(targets)));
 		return concerned;
 	}
 
 	// All peers if they are few, and otherwise those concerned and a random sample.
-	Set<String> wide(Set<TargetRun> targets) {
+	Set<String> wide(Set<TargetIncarnation> targets) {
 		Set<String> wide = concernedBy(targets);
 		wide.addAll(sample(this.known.addresses(), this.settings.maxWideReceivers()));
 		return wide;
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/WorkAtTarget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/WorkAtTarget.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Work of one entry or several at a target.
@@ -18,7 +18,7 @@
  * @param draining whether the target reported to the entry that it is draining
  * @since 0.2
  */
-public record WorkAtTarget(TargetRun target, int requests, long reservedTokens, long pendingPromptTokens, int toMove,
+public record WorkAtTarget(TargetIncarnation target, int requests, long reservedTokens, long pendingPromptTokens, int toMove,
 		boolean copying, int refused, boolean draining) {
 
 	public WorkAtTarget {
@@ -30,7 +30,7 @@
 	 * @param target the incarnation of the target
 	 * @return work with all counts at zero
 	 */
-	public static WorkAtTarget none(TargetRun target) {
+	public static WorkAtTarget none(TargetIncarnation target) {
 		return new WorkAtTarget(target, 0, 0, 0, 0, false, 0, false);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
@@ -9,7 +9,7 @@
 import java.util.function.Supplier;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.time.Timers;
 
 /**
@@ -41,7 +41,7 @@
 	private final Timers timers;
 
 	/** Incarnations with an unanswered query. */
-	private final Set<TargetRun> unanswered = new HashSet<>();
+	private final Set<TargetIncarnation> unanswered = new HashSet<>();
 
 	/**
 	 * Create an inquiry, which is inactive until {@link #start} is called.
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenConnections.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenConnections.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Requests whose connection broke, kept until it is known whether the target crashed.
@@ -33,7 +33,7 @@
 	 */
 	static final long CRASHING_MILLIS = 250;
 
-	private final Map<TargetRun, List<Broken>> byIncarnation = new HashMap<>();
+	private final Map<TargetIncarnation, List<Broken>> byIncarnation = new HashMap<>();
 
 	/**
 	 * Record that the connection of a request broke.
@@ -43,7 +43,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if it is the only one recorded for this incarnation
 	 */
-	public boolean add(RequestDigest digest, String requestId, TargetRun incarnation, long now) {
+	public boolean add(RequestDigest digest, String requestId, TargetIncarnation incarnation, long now) {
 		removeExpired(now);
 		List<Broken> requests = this.byIncarnation.computeIfAbsent(incarnation, (r) -> new ArrayList<>());
 		requests.add(new Broken(digest, requestId, now));
@@ -56,7 +56,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the incarnations of the targets
 	 */
-	public Set<TargetRun> targetsOf(RequestDigest digest, long now) {
+	public Set<TargetIncarnation> targetsOf(RequestDigest digest, long now) {
 		removeExpired(now);
 		return this.byIncarnation.entrySet()
 			.stream()
@@ -71,7 +71,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the requests that broke off there recently enough
 	 */
-	public List<Broken> takeAfterCrash(TargetRun incarnation, long now) {
+	public List<Broken> takeAfterCrash(TargetIncarnation incarnation, long now) {
 		removeExpired(now);
 		List<Broken> requests = this.byIncarnation.remove(incarnation);
 		return (requests != null) ? requests : List.of();
@@ -84,7 +84,7 @@
 	 * @param incarnation the incarnation of the target
 	 * @param now the current time in milliseconds
 	 */
-	public void connectionAccepted(TargetRun incarnation, long now) {
+	public void connectionAccepted(TargetIncarnation incarnation, long now) {
 		Optional.ofNullable(this.byIncarnation.get(incarnation))
 			.ifPresent((requests) -> requests.removeIf((b) -> now - b.brokenAt() >= CRASHING_MILLIS));
 		removeExpired(now);
@@ -95,7 +95,7 @@
 	 * it.
 	 * @param incarnation the incarnation of the target
 	 */
-	public void remove(TargetRun incarnation) {
+	public void remove(TargetIncarnation incarnation) {
 		this.byIncarnation.remove(incarnation);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/Suspect.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/Suspect.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * State of a request during whose execution targets crashed.
@@ -17,7 +17,7 @@
 	private static final int MAX_INCARNATIONS = 12;
 
 	/** The time of each crash, in the order of recording. */
-	private final Map<TargetRun, Long> crashTimes = new LinkedHashMap<>();
+	private final Map<TargetIncarnation, Long> crashTimes = new LinkedHashMap<>();
 
 	private OptionalLong completedAt = OptionalLong.empty();
 
@@ -29,7 +29,7 @@
 	 * @param at the time of the crash in milliseconds
 	 * @return {@code true} if it is new and after the latest completion of the request
 	 */
-	boolean recordCrash(TargetRun incarnation, long at) {
+	boolean recordCrash(TargetIncarnation incarnation, long at) {
 		boolean isRefuted = this.completedAt.isPresent() && at <= this.completedAt.getAsLong();
 		if (isRefuted || this.crashTimes.containsKey(incarnation)) {
 			return false;
@@ -68,7 +68,7 @@
 		return this.lastCrashAt;
 	}
 
-	Set<TargetRun> incarnations() {
+	Set<TargetIncarnation> incarnations() {
 		return this.crashTimes.keySet();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectListener.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectListener.java
@@ -1,6 +1,6 @@
 package dev.laneworks.core.poison;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Listener for changes of suspect requests.
@@ -17,7 +17,7 @@
 	 * @param ends the number of crashes since the request last completed
 	 * @param now the current time in milliseconds
 	 */
-	void crashed(RequestDigest digest, TargetRun incarnation, int ends, long now);
+	void crashed(RequestDigest digest, TargetIncarnation incarnation, int ends, long now);
 
 	/**
 	 * Handle the quarantine of a request, which must not be sent to targets from now on.
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -9,7 +9,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Registry of requests during whose execution targets crashed, which quarantines them
@@ -65,7 +65,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if the crash was not recorded before
 	 */
-	public boolean recordCrash(RequestDigest digest, TargetRun incarnation, long at, long now) {
+	public boolean recordCrash(RequestDigest digest, TargetIncarnation incarnation, long at, long now) {
 		if (now - at > this.settings.quarantineMillis()) {
 			return false;
 		}
@@ -159,7 +159,7 @@
 	 * @param digest the digest of the request
 	 * @return the recorded incarnations
 	 */
-	public Set<TargetRun> crashedTargets(RequestDigest digest) {
+	public Set<TargetIncarnation> crashedTargets(RequestDigest digest) {
 		return Optional.ofNullable(this.suspects.get(digest))
 			.map(Suspect::incarnations)
 			.map(Set::copyOf)
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/TargetCrash.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/TargetCrash.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Incarnation of a target that crashed while executing a request.
@@ -11,7 +11,7 @@
  * @param ageMillis the time since the crash, in milliseconds
  * @since 0.4
  */
-public record TargetCrash(TargetRun incarnation, long ageMillis) {
+public record TargetCrash(TargetIncarnation incarnation, long ageMillis) {
 
 	public TargetCrash {
 		Objects.requireNonNull(incarnation, "incarnation must not be null");
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
@@ -4,7 +4,7 @@
 
 import com.google.common.collect.Range;
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.gossip.RateLimitUpdate;
 import org.junit.jupiter.api.Test;
 
@@ -150,10 +150,10 @@
 	@Test
 	void updateContainsTheMostRecentLimits() {
 		for (int i = 0; i < 100; i++) {
-			this.limits.recordGossiped(new RateLimitUpdate(TargetRun.of("t" + i), OptionalDouble.of(1), 100 - i), 100);
+			this.limits.recordGossiped(new RateLimitUpdate(TargetIncarnation.of("t" + i), OptionalDouble.of(1), 100 - i), 100);
 		}
 		assertThat(this.limits.updates(100)).hasSize(64);
-		assertThat(this.limits.updates(100).get(0).target()).isEqualTo(TargetRun.of("t99"));
+		assertThat(this.limits.updates(100).get(0).target()).isEqualTo(TargetIncarnation.of("t99"));
 	}
 
 	private void report(double perSecond, long now) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
@@ -133,8 +133,8 @@
 	@Test
 	void reportsOnceThatATargetRejectedARequest() {
 		this.directory.put(target("a", false));
-		this.directory.refusedWork(TargetRun.of("a"));
-		this.directory.refusedWork(TargetRun.of("a"));
+		this.directory.refusedWork(TargetIncarnation.of("a"));
+		this.directory.refusedWork(TargetIncarnation.of("a"));
 		assertThat(this.directory.takesWork("a")).isFalse();
 		assertThat(this.events).containsExactly("joined a", "leaving a REFUSED").inOrder();
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
@@ -131,10 +131,10 @@
 	void reportsOfAFormerIncarnationDoNotAffectTheNewOne() {
 		putListing(FIRST, false, 5);
 		putListing(SECOND, false, 6);
-		this.directory.refusedWork(TargetRun.of("a", FIRST));
-		this.directory.saidLeaving(TargetRun.of("a", FIRST));
+		this.directory.refusedWork(TargetIncarnation.of("a", FIRST));
+		this.directory.saidLeaving(TargetIncarnation.of("a", FIRST));
 		assertThat(this.directory.takesWork("a")).isTrue();
-		this.directory.saidLeaving(TargetRun.of("a", SECOND));
+		this.directory.saidLeaving(TargetIncarnation.of("a", SECOND));
 		assertThat(this.directory.takesWork("a")).isFalse();
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -20,7 +20,7 @@
 import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.mechanism.Mechanism;
 import dev.laneworks.core.mechanism.Mechanisms;
@@ -97,7 +97,7 @@
 	 * Incarnations of targets whose back-pressure signals were to be announced
 	 * immediately.
 	 */
-	final List<TargetRun> needsToTell = new ArrayList<>();
+	final List<TargetIncarnation> needsToTell = new ArrayList<>();
 
 	final TargetBackpressure backpressure = new TargetBackpressure(this.limits, this.needsToTell::add, (e) -> this.audit.add(e));
 
@@ -234,7 +234,7 @@
 		return new RequestDigest(0, 0, call);
 	}
 
-	private Optional<WorkAtTarget> findWorkOfOthers(TargetRun target) {
+	private Optional<WorkAtTarget> findWorkOfOthers(TargetIncarnation target) {
 		return Optional.ofNullable(this.others.get(target.id())).filter((w) -> w.target().equals(target));
 	}
 
@@ -407,7 +407,7 @@
 	private final class SuspicionRecorder implements SuspectListener {
 
 		@Override
-		public void crashed(RequestDigest digest, TargetRun run, int ends, long now) {
+		public void crashed(RequestDigest digest, TargetIncarnation incarnation, int ends, long now) {
 			DispatchHarness.this.suspected.add(digest);
 			DispatchHarness.this.onSuspicion.accept(digest);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
@@ -11,7 +11,7 @@
 
 import dev.laneworks.core.backpressure.BackpressureSignals;
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.poison.RequestDigest;
@@ -186,7 +186,7 @@
 			this.harness.checked.clear();
 			RequestDigest digest = digest(suspicionChoices);
 			switch (suspicionChoices.nextInt(20)) {
-				case 0 -> this.harness.suspects.recordCrash(digest, TargetRun.of("x" + suspicionChoices.nextInt(9)),
+				case 0 -> this.harness.suspects.recordCrash(digest, TargetIncarnation.of("x" + suspicionChoices.nextInt(9)),
 						this.harness.now, this.harness.now);
 				case 1 -> this.harness.suspects.recordCompletion(digest, this.harness.now);
 				default -> {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 
 import dev.laneworks.core.backpressure.BackpressureSignals;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
 
 import static com.google.common.truth.Truth.assertWithMessage;
@@ -33,15 +33,15 @@
 
 	private final SplittableRandom random;
 
-	private final Set<TargetRun> draining = new HashSet<>();
+	private final Set<TargetIncarnation> draining = new HashSet<>();
 
-	private final Map<TargetRun, Long> backoffUntil = new HashMap<>();
+	private final Map<TargetIncarnation, Long> backoffUntil = new HashMap<>();
 
-	private final Map<TargetRun, Integer> sentWithinBackoff = new HashMap<>();
+	private final Map<TargetIncarnation, Integer> sentWithinBackoff = new HashMap<>();
 
-	private final Map<TargetRun, Double> limits = new HashMap<>();
+	private final Map<TargetIncarnation, Double> limits = new HashMap<>();
 
-	private final Map<TargetRun, Deque<Long>> sentAt = new HashMap<>();
+	private final Map<TargetIncarnation, Deque<Long>> sentAt = new HashMap<>();
 
 	NeedsOracle(String name, SplittableRandom random) {
 		this.name = name;
@@ -55,7 +55,7 @@
 	 * @param now the current time in milliseconds of virtual time
 	 * @return the signals; the rate limit and draining persist from earlier responses
 	 */
-	BackpressureSignals say(TargetRun target, boolean isRejected, long now) {
+	BackpressureSignals say(TargetIncarnation target, boolean isRejected, long now) {
 		if (this.random.nextInt(4) == 0) {
 			this.limits.putIfAbsent(target, LIMITS[this.random.nextInt(LIMITS.length)]);
 		}
@@ -81,7 +81,7 @@
 	 * @param now the current time in milliseconds of virtual time
 	 */
 	void ordered(Sent sent, long now) {
-		TargetRun target = sent.target().run();
+		TargetIncarnation target = sent.target().run();
 		boolean isNew = sent.order().resume().isEmpty();
 		if (isNew) {
 			assertWithMessage("%s: new work at %s, which is draining", this.name, target).that(this.draining)
@@ -95,11 +95,11 @@
 		}
 	}
 
-	private void checkLimit(TargetRun target, long now) {
+	private void checkLimit(TargetIncarnation target, long now) {
 		if (!this.limits.containsKey(target)) {
 			return;
 		}
-		Deque<Long> window = this.sentAt.computeIfAbsent(target, (run) -> new ArrayDeque<>());
+		Deque<Long> window = this.sentAt.computeIfAbsent(target, (incarnation) -> new ArrayDeque<>());
 		window.add(now);
 		while (window.peekFirst() <= now - WINDOW_MILLIS) {
 			window.removeFirst();
@@ -115,7 +115,7 @@
 	 * @param now the current time in milliseconds of virtual time
 	 */
 	void goesOut(Sent sent, long now) {
-		TargetRun target = sent.target().run();
+		TargetIncarnation target = sent.target().run();
 		if (sent.order().resume().isEmpty()) {
 			assertWithMessage("%s: written to %s, which is draining", this.name, target).that(this.draining)
 				.doesNotContain(target);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
@@ -11,7 +11,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.serving.AllowedRegions;
 import dev.laneworks.core.serving.RequestKind;
@@ -122,12 +122,12 @@
 		}
 		for (DispatchHarness entry : this.entries) {
 			for (String engine : this.engines.keySet()) {
-				TargetRun run = TargetRun.of(engine);
-				WorkAtTarget none = WorkAtTarget.none(run);
+				TargetIncarnation incarnation = TargetIncarnation.of(engine);
+				WorkAtTarget none = WorkAtTarget.none(incarnation);
 				WorkAtTarget sum = all.getOrDefault(engine, none);
 				WorkAtTarget own = work.get(entry).getOrDefault(engine, none);
 				entry.others.put(engine,
-						new WorkAtTarget(run, sum.requests() - own.requests(), sum.reservedTokens() - own.reservedTokens(),
+						new WorkAtTarget(incarnation, sum.requests() - own.requests(), sum.reservedTokens() - own.reservedTokens(),
 								sum.pendingPromptTokens() - own.pendingPromptTokens(), 0, false, 0, false));
 			}
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedRequestTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedRequestTests.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.mechanism.Mechanism;
 import dev.laneworks.core.poison.RequestDigest;
 import dev.laneworks.core.serving.RequestKind;
@@ -134,7 +134,7 @@
 		this.harness.asks(2, SAME);
 		this.harness.open(2, RequestKind.UNSAFE, 1);
 		for (String id : List.of("x", "y")) {
-			this.harness.suspects.recordCrash(SAME, TargetRun.of(id), this.harness.now, this.harness.now);
+			this.harness.suspects.recordCrash(SAME, TargetIncarnation.of(id), this.harness.now, this.harness.now);
 		}
 		this.harness.breakOff(sent);
 		this.harness.dispatcher.connectFailed(2, 1, ConnectFault.REFUSED, "refused", this.harness.now);
@@ -186,7 +186,7 @@
 		this.harness.asks(1, SAME);
 		this.harness.openStream(1);
 		DispatchHarness.Sent sent = this.harness.arrive();
-		this.harness.suspects.recordCrash(SAME, TargetRun.of("x"), this.harness.now, this.harness.now);
+		this.harness.suspects.recordCrash(SAME, TargetIncarnation.of("x"), this.harness.now, this.harness.now);
 		this.harness.event(sent, 0);
 		this.harness.passTime(1_999);
 		this.harness.event(sent, 1);
@@ -217,7 +217,7 @@
 	void completeResponseClearsItsRequestAndFailureDoesNot() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
-		this.harness.suspects.recordCrash(SAME, TargetRun.of("x"), this.harness.now, this.harness.now);
+		this.harness.suspects.recordCrash(SAME, TargetIncarnation.of("x"), this.harness.now, this.harness.now);
 		this.harness.answer(sent, 500, false);
 		assertThat(this.harness.cleared).isEmpty();
 		this.harness.asks(2, SAME);
@@ -231,7 +231,7 @@
 		DispatchHarness withoutQuarantine = DispatchHarness.without(Mechanism.REQUEST_QUARANTINE);
 		withoutQuarantine.join(DispatchHarness.PLAIN, "a");
 		for (String id : List.of("x", "y", "z")) {
-			withoutQuarantine.suspects.recordCrash(SAME, TargetRun.of(id), 0, 0);
+			withoutQuarantine.suspects.recordCrash(SAME, TargetIncarnation.of(id), 0, 0);
 		}
 		withoutQuarantine.asks(1, SAME);
 		withoutQuarantine.open(1, RequestKind.UNSAFE, 1);
@@ -241,7 +241,7 @@
 	// Records crashes as if another entry had announced them.
 	private void quarantine() {
 		for (String id : List.of("x", "y", "z")) {
-			this.harness.suspects.recordCrash(SAME, TargetRun.of(id), this.harness.now, this.harness.now);
+			this.harness.suspects.recordCrash(SAME, TargetIncarnation.of(id), this.harness.now, this.harness.now);
 		}
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.CopyResult.Outcome;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
 import dev.laneworks.core.gossip.WorkAtTarget;
@@ -32,7 +32,7 @@
 		this.harness.arrive();
 		this.harness.beliefs.refused(former);
 		this.harness.beliefs.saidLeaving(former);
-		this.harness.others.put("a", new WorkAtTarget(TargetRun.of("a"), 3, 9_000, 0, 0, true, 4, true));
+		this.harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 3, 9_000, 0, 0, true, 4, true));
 		ListedTarget started = this.harness.startAgain(former);
 		TargetBelief estimate = this.harness.beliefs.of(started);
 		assertThat(estimate.inFlight()).isEqualTo(0);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.CopyResult.Outcome;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
 import dev.laneworks.core.gossip.WorkAtTarget;
@@ -481,7 +481,7 @@
 	private void reserveMemory(double share) {
 		for (String id : List.of("a", "b")) {
 			this.harness.others.put(id,
-					new WorkAtTarget(TargetRun.of(id), 1, (long) (share * 34_000), 0, 0, false, 0, false));
+					new WorkAtTarget(TargetIncarnation.of(id), 1, (long) (share * 34_000), 0, 0, false, 0, false));
 		}
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
@@ -15,7 +15,7 @@
 
 	private final ListedTarget target = new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, false);
 
-	private final TargetBeliefs estimates = new TargetBeliefs((run) -> Optional.empty(), new SplittableRandom(1));
+	private final TargetBeliefs estimates = new TargetBeliefs((incarnation) -> Optional.empty(), new SplittableRandom(1));
 
 	/**
 	 * Guards against a negative memory estimate of an engine that is removed and listed
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -17,7 +17,7 @@
 import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.mechanism.Mechanisms;
 import dev.laneworks.core.serving.AllowedRegions;
@@ -45,7 +45,7 @@
 
 	private Map<String, WorkAtTarget> work = Map.of();
 
-	private final TargetBeliefs estimates = new TargetBeliefs((run) -> Optional.ofNullable(this.work.get(run.id())),
+	private final TargetBeliefs estimates = new TargetBeliefs((incarnation) -> Optional.ofNullable(this.work.get(incarnation.id())),
 			new SplittableRandom(2));
 
 	private final TargetChooser chooser = new TargetChooser(new Eligibility(this.directory, this.estimates,
@@ -80,7 +80,7 @@
 		Map<String, WorkAtTarget> held = new HashMap<>();
 		for (String id : List.of("near", "n2", "n3", "n4")) {
 			join(id, "here");
-			held.put(id, new WorkAtTarget(TargetRun.of(id), 1, 3_000, 3_000, 0, false, 0, false));
+			held.put(id, new WorkAtTarget(TargetIncarnation.of(id), 1, 3_000, 3_000, 0, false, 0, false));
 		}
 		join("far", "there");
 		held.put("far", held("far", 9_000));
@@ -169,7 +169,7 @@
 	}
 
 	private static WorkAtTarget held(String id, long tokens) {
-		return new WorkAtTarget(TargetRun.of(id), 1, tokens, 0, 0, false, 0, false);
+		return new WorkAtTarget(TargetIncarnation.of(id), 1, tokens, 0, 0, false, 0, false);
 	}
 
 	private static final class SingleEntry implements EntryRanks {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/UnreachableDetectorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/UnreachableDetectorTests.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.DispatchHarness.Sent;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.serving.RequestKind;
@@ -64,7 +64,7 @@
 	@Test
 	void targetThatRefusedTwoEntriesReceivesNoWork() {
 		ListedTarget dead = this.harness.join(DispatchHarness.PLAIN, "a");
-		this.harness.others.put("a", new WorkAtTarget(TargetRun.of("a"), 0, 0, 0, 0, false, 1, false));
+		this.harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 0, 0, 0, 0, false, 1, false));
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		Sent sent = this.harness.sent.get(0);
 		this.harness.join(DispatchHarness.PLAIN, "b");
@@ -86,7 +86,7 @@
 		this.harness.event(run, 0);
 		String backup = run.target().id().equals("a") ? "b" : "a";
 		assertThat(run.order().backup()).isNotEqualTo(Optional.empty());
-		this.harness.others.put(backup, new WorkAtTarget(TargetRun.of(backup), 0, 0, 0, 0, false, 2, false));
+		this.harness.others.put(backup, new WorkAtTarget(TargetIncarnation.of(backup), 0, 0, 0, 0, false, 2, false));
 		this.harness.breakOff(run);
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).contains("cut");
@@ -95,7 +95,7 @@
 	@Test
 	void unreachableTargetIsTriedWhenThereIsNoOther() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
-		this.harness.others.put("a", new WorkAtTarget(TargetRun.of("a"), 0, 0, 0, 0, false, 2, false));
+		this.harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 0, 0, 0, 0, false, 2, false));
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		assertThat(this.harness.sent).hasSize(1);
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -9,7 +9,7 @@
 import java.util.function.ToLongBiFunction;
 
 import dev.laneworks.core.audit.AuditEvent;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.routing.Rendezvous;
 import dev.laneworks.core.time.Timers;
 import org.junit.jupiter.api.Test;
@@ -51,22 +51,22 @@
 
 	@Test
 	void nextUpdateOfAPeerReplacesItsWork() {
-		assertThat(this.gossip.workOfOthers(TargetRun.of("t"))).isEqualTo(Optional.empty());
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t"))).isEqualTo(Optional.empty());
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
 		this.gossip.handleUpdate("10.0.0.3:7200", news("three", 3, 1, work(1, 100)), 0);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(1_000);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(1_000);
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, work(1, 50)), 10);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(150);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("unknown")).get().requests()).isEqualTo(0);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(150);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("unknown")).get().requests()).isEqualTo(0);
 	}
 
 	@Test
 	void ignoresLateUpdateOfTheSameIncarnationOnly() {
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 7, work(1, 700)), 0);
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 6, work(1, 600)), 1);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(700);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(700);
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 99, 1, work(0, 0)), 2);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(0);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(0);
 	}
 
 	@Test
@@ -77,7 +77,7 @@
 		assertThat(this.gossip.peerCount()).isEqualTo(1);
 		this.timers.run(4_000);
 		assertThat(this.gossip.peerCount()).isEqualTo(0);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("t"))).isEqualTo(Optional.empty());
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t"))).isEqualTo(Optional.empty());
 	}
 
 	@Test
@@ -101,13 +101,13 @@
 	void batchesChangesUnlessOthersWaitForThem() {
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
 		this.receivers.clear();
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.NEAR, 110);
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.NEAR, 112);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.NEAR, 110);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.NEAR, 112);
 		this.timers.run(120);
 		assertThat(this.receivers).isEmpty();
 		this.timers.run(125);
 		assertThat(this.receivers).hasSize(1);
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.INVOLVED, 126);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.INVOLVED, 126);
 		this.timers.run(126);
 		assertThat(this.receivers).hasSize(2);
 	}
@@ -131,13 +131,13 @@
 
 	@Test
 	void everyUpdateCarriesBackPressureSignals() {
-		this.signals = new BackpressureUpdate(List.of(new RateLimitUpdate(TargetRun.of("t"), OptionalDouble.of(3), 40)),
-				List.of(TargetRun.of("u")));
+		this.signals = new BackpressureUpdate(List.of(new RateLimitUpdate(TargetIncarnation.of("t"), OptionalDouble.of(3), 40)),
+				List.of(TargetIncarnation.of("u")));
 		this.gossip.handleUpdate("10.0.0.2:7200",
 				new LoadUpdate("two", "z", 2, 1, false, true, 1_000, List.of(), List.of(), this.signals, List.of()), 0);
 		assertThat(this.receivedSignals).containsExactly(this.signals);
 		assertThat(this.lastUpdate.signals()).isEqualTo(this.signals);
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.ALL, 100);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.ALL, 100);
 		this.timers.run(200);
 		assertThat(this.lastUpdate.partial()).isTrue();
 		assertThat(this.lastUpdate.signals()).isEqualTo(this.signals);
@@ -147,32 +147,32 @@
 	void entriesMoveInRankOrderAndWaitForACopyInProgress() {
 		String target = targetRanking("two", "me");
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, false)), 0);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 100, 100)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 100, 100)).isFalse();
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 0, false)), 0);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 5, 5)).isFalse();
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 20, 20)).isTrue();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 5, 5)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 20, 20)).isTrue();
 		String mine = targetRanking("me", "two");
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, moving(mine, 2, false)), 0);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(mine), 0, 0)).isTrue();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(mine), 0, 0)).isTrue();
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 4, moving(mine, 2, true)), 0);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(mine), 100, 100)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(mine), 100, 100)).isFalse();
 	}
 
 	@Test
 	void silentPeerLosesItsTurn() {
 		String target = targetRanking("two", "me");
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 2, true)), 0);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 200, 200)).isFalse();
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 201, 201)).isTrue();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 200, 200)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 201, 201)).isTrue();
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 2, true)), 210);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 211, 211)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 211, 211)).isFalse();
 	}
 
 	@Test
 	void sendsFrequentUpdatesWhileMoving() {
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
 		this.ownWork = List.of(moving("t", 1, true));
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.INVOLVED, 100);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.INVOLVED, 100);
 		this.timers.run(100);
 		this.receivers.clear();
 		this.timers.run(160);
@@ -189,12 +189,12 @@
 		String target = "t";
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, true)), 0);
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 1, true)), 400);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 500, 500)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 500, 500)).isFalse();
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, moving(target, 1, true)), 490);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 501, 501)).isTrue();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 501, 501)).isTrue();
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 4, moving(target, 0, false)), 510);
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 5, moving(target, 1, true)), 520);
-		assertThat(this.gossip.mayStartMove(TargetRun.of(target), 530, 530)).isFalse();
+		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 530, 530)).isFalse();
 	}
 
 	@Test
@@ -204,7 +204,7 @@
 		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.gossip.start(0);
 		this.receivers.clear();
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.NEAR, 100);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.NEAR, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200");
 		assertThat(this.lastUpdate.partial()).isTrue();
@@ -219,18 +219,18 @@
 	@Test
 	void passesOnThatAPeerReportsADrainingTarget() {
 		this.gossip.handleUpdate("10.0.0.2:7200",
-				news("two", 2, 1, new WorkAtTarget(TargetRun.of("t"), 0, 0, 0, 0, false, 0, true)), 0);
+				news("two", 2, 1, new WorkAtTarget(TargetIncarnation.of("t"), 0, 0, 0, 0, false, 0, true)), 0);
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, work(1, 1)), 1);
 		assertThat(this.draining).containsExactly("t");
 	}
 
 	@Test
 	void workIsKeptSeparateForEachTargetIncarnation() {
-		TargetRun former = TargetRun.of("t", 1_000);
+		TargetIncarnation former = TargetIncarnation.of("t", 1_000);
 		WorkAtTarget work = new WorkAtTarget(former, 3, 70, 10, 1, true, 2, true);
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work), 0);
 		assertThat(this.gossip.workOfOthers(former)).isEqualTo(Optional.of(work));
-		TargetRun started = TargetRun.of("t", 900);
+		TargetIncarnation started = TargetIncarnation.of("t", 900);
 		assertThat(this.gossip.workOfOthers(started)).isEqualTo(Optional.of(WorkAtTarget.none(started)));
 		assertThat(this.gossip.isCopying(started)).isFalse();
 		assertThat(this.gossip.mayStartMove(started, 500, 500)).isTrue();
@@ -265,7 +265,7 @@
 			this.gossip.handleUpdate("10.0.0." + i + ":7200", distant("e" + i, i), 0);
 		}
 		this.receivers.clear();
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.SAMPLE, 100);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.SAMPLE, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).hasSize(10);
 		this.gossip.handleUpdate("10.0.0.77:7200", distant("worker", 77, work(1, 1)), 150);
@@ -273,7 +273,7 @@
 			this.gossip.handleUpdate("10.0.1." + i + ":7200", distant("e" + i, i), 150);
 		}
 		this.receivers.clear();
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.SAMPLE, 200);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.SAMPLE, 200);
 		this.timers.run(200);
 		assertThat(this.receivers.size()).isAtMost(SETTINGS.maxWideReceivers() + 1);
 		assertThat(this.receivers.size()).isAtLeast(SETTINGS.maxWideReceivers());
@@ -286,12 +286,12 @@
 		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3), 0);
 		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.receivers.clear();
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.ALL, 100);
-		this.gossip.workChanged(TargetRun.of("u"), UpdateScope.NEAR, 100);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.ALL, 100);
+		this.gossip.workChanged(TargetIncarnation.of("u"), UpdateScope.NEAR, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.3:7200", "10.0.0.4:7200");
 		this.receivers.clear();
-		this.gossip.workChanged(TargetRun.of("u"), UpdateScope.NEAR, 200);
+		this.gossip.workChanged(TargetIncarnation.of("u"), UpdateScope.NEAR, 200);
 		this.timers.run(200);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200");
 	}
@@ -302,7 +302,7 @@
 		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3, work(1, 1)), 0);
 		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.receivers.clear();
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.INVOLVED, 100);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.INVOLVED, 100);
 		this.timers.run(100);
 		assertThat(this.receivers).containsExactly("10.0.0.2:7200", "10.0.0.3:7200");
 	}
@@ -311,14 +311,14 @@
 	void partialUpdateChangesOnlyTheTargetsThatItNames() {
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
 		LoadUpdate partial = new LoadUpdate("two", "z", 2, 2, false, true, 1_000,
-				List.of(new WorkAtTarget(TargetRun.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), BackpressureUpdate.NONE,
+				List.of(new WorkAtTarget(TargetIncarnation.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), BackpressureUpdate.NONE,
 				List.of());
 		this.gossip.handleUpdate("10.0.0.2:7200", partial, 10);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(900);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("u")).get().reservedTokens()).isEqualTo(70);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(900);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("u")).get().reservedTokens()).isEqualTo(70);
 		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, work(1, 40)), 20);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("t")).get().reservedTokens()).isEqualTo(40);
-		assertThat(this.gossip.workOfOthers(TargetRun.of("u")).get().reservedTokens()).isEqualTo(0);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(40);
+		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("u")).get().reservedTokens()).isEqualTo(0);
 	}
 
 	@Test
@@ -338,7 +338,7 @@
 		this.gossip.shutDown(200);
 		assertThat(this.lastUpdate.shuttingDown()).isTrue();
 		this.receivers.clear();
-		this.gossip.workChanged(TargetRun.of("t"), UpdateScope.INVOLVED, 210);
+		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.INVOLVED, 210);
 		this.timers.run(10_000);
 		assertThat(this.receivers).isEmpty();
 	}
@@ -353,11 +353,11 @@
 	}
 
 	private static WorkAtTarget work(int requests, long tokens) {
-		return new WorkAtTarget(TargetRun.of("t"), requests, tokens, 0, 0, false, 0, false);
+		return new WorkAtTarget(TargetIncarnation.of("t"), requests, tokens, 0, 0, false, 0, false);
 	}
 
 	private static WorkAtTarget moving(String target, int toMove, boolean copying) {
-		return new WorkAtTarget(TargetRun.of(target), 1, 1, 0, toMove, copying, 0, false);
+		return new WorkAtTarget(TargetIncarnation.of(target), 1, 1, 0, toMove, copying, 0, false);
 	}
 
 	private static LoadUpdate news(String name, long incarnation, long sequence, WorkAtTarget work) {
@@ -379,7 +379,7 @@
 		}
 
 		@Override
-		public void targetDraining(TargetRun target) {
+		public void targetDraining(TargetIncarnation target) {
 			GossipTests.this.draining.add(target.id());
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/BrokenRequestsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/BrokenRequestsTests.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
@@ -16,7 +16,7 @@
 
 	private static final RequestDigest OTHER = new RequestDigest(0, 0, 2);
 
-	private static final TargetRun INCARNATION = TargetRun.of("a");
+	private static final TargetIncarnation INCARNATION = TargetIncarnation.of("a");
 
 	private final BrokenConnections brokenConnections = new BrokenConnections();
 
@@ -24,7 +24,7 @@
 	void endOfATargetReturnsItsBrokenRequestsOnce() {
 		assertThat(this.brokenConnections.add(ONE, "r1", INCARNATION, 0)).isTrue();
 		assertThat(this.brokenConnections.add(OTHER, "r2", INCARNATION, 10)).isFalse();
-		this.brokenConnections.add(ONE, "r3", TargetRun.of("b"), 10);
+		this.brokenConnections.add(ONE, "r3", TargetIncarnation.of("b"), 10);
 		assertThat(requestIds(this.brokenConnections.takeAfterCrash(INCARNATION, 4_500))).containsExactly("r1", "r2");
 		assertThat(this.brokenConnections.takeAfterCrash(INCARNATION, 4_500)).isEmpty();
 	}
@@ -63,10 +63,10 @@
 	@Test
 	void returnsTargetsWhereARequestBrokeOff() {
 		this.brokenConnections.add(ONE, "r1", INCARNATION, 0);
-		this.brokenConnections.add(ONE, "r2", TargetRun.of("b"), 10);
-		this.brokenConnections.add(OTHER, "r3", TargetRun.of("c"), 10);
-		assertThat(this.brokenConnections.targetsOf(ONE, 20)).containsExactly(INCARNATION, TargetRun.of("b"));
-		assertThat(this.brokenConnections.targetsOf(ONE, 4_505)).containsExactly(TargetRun.of("b"));
+		this.brokenConnections.add(ONE, "r2", TargetIncarnation.of("b"), 10);
+		this.brokenConnections.add(OTHER, "r3", TargetIncarnation.of("c"), 10);
+		assertThat(this.brokenConnections.targetsOf(ONE, 20)).containsExactly(INCARNATION, TargetIncarnation.of("b"));
+		assertThat(this.brokenConnections.targetsOf(ONE, 4_505)).containsExactly(TargetIncarnation.of("b"));
 	}
 
 	private static List<String> requestIds(List<BrokenConnections.Broken> requests) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectGossipTests.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.time.Timers;
 import org.junit.jupiter.api.Test;
 
@@ -145,7 +145,7 @@
 
 		private void observe(RequestDigest digest, String target) {
 			long at = SuspectGossipTests.this.now;
-			this.suspects.recordCrash(digest, TargetRun.of(target), at, at);
+			this.suspects.recordCrash(digest, TargetIncarnation.of(target), at, at);
 		}
 
 		private List<String> others() {
@@ -173,7 +173,7 @@
 		}
 
 		@Override
-		public void crashed(RequestDigest digest, TargetRun run, int ends, long at) {
+		public void crashed(RequestDigest digest, TargetIncarnation incarnation, int ends, long at) {
 			if (!this.isReceiving) {
 				this.gossip.report(digest, at);
 			}
@@ -186,7 +186,7 @@
 
 		@Override
 		public void cleared(RequestDigest digest, long at) {
-			crashed(digest, TargetRun.of("none"), 0, at);
+			crashed(digest, TargetIncarnation.of("none"), 0, at);
 		}
 
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectRequestsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/SuspectRequestsTests.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import org.junit.jupiter.api.Test;
 
 import static com.google.common.truth.Truth.assertThat;
@@ -42,13 +42,13 @@
 		crash(DIGEST, "a", 0);
 		crash(DIGEST, "a", 10);
 		this.suspects.handleReport(report(List.of("a"), 0, OptionalLong.empty()), 20);
-		assertThat(this.suspects.crashedTargets(DIGEST)).containsExactly(TargetRun.of("a"));
+		assertThat(this.suspects.crashedTargets(DIGEST)).containsExactly(TargetIncarnation.of("a"));
 	}
 
 	@Test
 	void crashesOfSeveralIncarnationsOfOneTargetCount() {
 		for (long start = 1; start <= 3; start++) {
-			this.suspects.recordCrash(DIGEST, TargetRun.of("a", start), start, start);
+			this.suspects.recordCrash(DIGEST, TargetIncarnation.of("a", start), start, start);
 		}
 		assertThat(this.suspects.remainingQuarantineMillis(DIGEST, 3).isPresent()).isTrue();
 	}
@@ -151,18 +151,18 @@
 	}
 
 	private void crash(RequestDigest digest, String target, long now) {
-		this.suspects.recordCrash(digest, TargetRun.of(target), now, now);
+		this.suspects.recordCrash(digest, TargetIncarnation.of(target), now, now);
 	}
 
 	private static SuspectReport report(List<String> ends, long ageMillis, OptionalLong completionAgeMillis) {
-		return new SuspectReport(DIGEST, ends.stream().map((e) -> new TargetCrash(TargetRun.of(e), ageMillis)).toList(),
+		return new SuspectReport(DIGEST, ends.stream().map((e) -> new TargetCrash(TargetIncarnation.of(e), ageMillis)).toList(),
 				completionAgeMillis);
 	}
 
 	private final class Listener implements SuspectListener {
 
 		@Override
-		public void crashed(RequestDigest digest, TargetRun run, int ends, long now) {
+		public void crashed(RequestDigest digest, TargetIncarnation incarnation, int ends, long now) {
 			SuspectRequestsTests.this.events.add("ended " + ends);
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -19,7 +19,7 @@
 import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.backpressure.TargetRateLimits;
 import dev.laneworks.core.directory.TargetDirectory;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.ColdTargets;
 import dev.laneworks.core.dispatch.DispatchSettings;
 import dev.laneworks.core.dispatch.Dispatcher;
@@ -411,7 +411,7 @@
 		this.loop.timers().schedule(now + POLL_INTERVAL_MILLIS, (t) -> pollShutdown(since, t));
 	}
 
-	private Optional<WorkAtTarget> peerWork(TargetRun target) {
+	private Optional<WorkAtTarget> peerWork(TargetIncarnation target) {
 		return this.peers.workAt(target);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -14,7 +14,7 @@
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.CopyTurn;
 import dev.laneworks.core.dispatch.EntryRanks;
 import dev.laneworks.core.dispatch.RetryWindow;
@@ -66,13 +66,13 @@
 	private Consumer<StoreUpdate> storeUpdateListener = (n) -> {
 	};
 
-	private Consumer<TargetRun> drainingListener = (t) -> {
+	private Consumer<TargetIncarnation> drainingListener = (t) -> {
 	};
 
 	private Consumer<SuspectReport> suspectListener = (r) -> {
 	};
 
-	private Predicate<TargetRun> listed = (t) -> false;
+	private Predicate<TargetIncarnation> listed = (t) -> false;
 
 	private Optional<TargetBackpressure> backpressure = Optional.empty();
 
@@ -176,19 +176,19 @@
 
 	// Set the listener for targets that reported to other entries that they are
 	// draining.
-	void onDraining(Consumer<TargetRun> listener) {
+	void onDraining(Consumer<TargetIncarnation> listener) {
 		this.drainingListener = listener;
 	}
 
 	// Set the source of shared back-pressure signals and the filter of listed
 	// incarnations.
-	void shareNeeds(TargetBackpressure shared, Predicate<TargetRun> isListed) {
+	void shareNeeds(TargetBackpressure shared, Predicate<TargetIncarnation> isListed) {
 		this.backpressure = Optional.of(shared);
 		this.listed = isListed;
 	}
 
 	// Announce the back-pressure signals of a target to all other entries at once.
-	void announceNeeds(TargetRun target) {
+	void announceNeeds(TargetIncarnation target) {
 		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
 			this.gossip.workChanged(target, UpdateScope.ALL, this.loop.now());
 		}
@@ -200,7 +200,7 @@
 	}
 
 	// Return the other entries' work at a target; empty while no other entry is known.
-	Optional<WorkAtTarget> workAt(TargetRun target) {
+	Optional<WorkAtTarget> workAt(TargetIncarnation target) {
 		return this.gossip.workOfOthers(target);
 	}
 
@@ -242,7 +242,7 @@
 	}
 
 	@Override
-	public void targetDraining(TargetRun target) {
+	public void targetDraining(TargetIncarnation target) {
 		this.drainingListener.accept(target);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
@@ -5,7 +5,7 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.Dispatcher;
 import dev.laneworks.core.poison.PoisonSettings;
 import dev.laneworks.core.poison.RequestDigest;
@@ -55,7 +55,7 @@
 	}
 
 	@Override
-	public void crashed(RequestDigest digest, TargetRun run, int ends, long now) {
+	public void crashed(RequestDigest digest, TargetIncarnation incarnation, int ends, long now) {
 		announceOwn(digest, now);
 	}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -20,7 +20,7 @@
 import dev.laneworks.core.directory.EvacuationListener;
 import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.follow.FollowSettings;
 import dev.laneworks.core.follow.SharedWatch;
 import dev.laneworks.core.follow.StoreCalls;
@@ -375,7 +375,7 @@
 		final Map<String, Integer> joined = new HashMap<>();
 
 		/** Number of join events per incarnation of a target. */
-		final Map<TargetRun, Integer> runsJoined = new HashMap<>();
+		final Map<TargetIncarnation, Integer> runsJoined = new HashMap<>();
 
 		final Set<String> takingWork = new HashSet<>();
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipTests.java
@@ -288,8 +288,8 @@
 						.isEqualTo(this.simulation.listedTakingWork());
 				}
 				if (!this.hasLapsedTargets) {
-					entry.runsJoined.forEach((run,
-							times) -> assertWithMessage("seed %s, entry %s, %s joined", this.seed, entry.name, run)
+					entry.runsJoined.forEach((incarnation,
+							times) -> assertWithMessage("seed %s, entry %s, %s joined", this.seed, entry.name, incarnation)
 								.that(times)
 								.isEqualTo(1));
 				}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/TargetIncarnationFormat.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/TargetIncarnationFormat.java
@@ -3,7 +3,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
  * Text format of a target's incarnation: its id, a separator and its start time.
@@ -21,19 +21,19 @@
 	private TargetIncarnationFormat() {
 	}
 
-	static String format(TargetRun incarnation) {
+	static String format(TargetIncarnation incarnation) {
 		String start = incarnation.startMillis().isPresent() ? Long.toString(incarnation.startMillis().getAsLong())
 				: "";
 		return incarnation.id() + SEPARATOR + start;
 	}
 
-	static TargetRun parse(String text) {
+	static TargetIncarnation parse(String text) {
 		Matcher matcher = INCARNATION.matcher(text);
 		if (!matcher.matches()) {
-			return TargetRun.of(text);
+			return TargetIncarnation.of(text);
 		}
-		return (matcher.group(2) == null) ? TargetRun.of(matcher.group(1))
-				: TargetRun.of(matcher.group(1), Long.parseLong(matcher.group(2)));
+		return (matcher.group(2) == null) ? TargetIncarnation.of(matcher.group(1))
+				: TargetIncarnation.of(matcher.group(1), Long.parseLong(matcher.group(2)));
 	}
 
 }
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.gossip.BackpressureUpdate;
 import dev.laneworks.core.gossip.LoadUpdate;
 import dev.laneworks.core.gossip.RateLimitUpdate;
@@ -20,15 +20,15 @@
 
 	@Test
 	void decodesWhatWasEncoded() {
-		TargetRun incarnation = TargetRun.of("t", 1_700_000_000_000L);
+		TargetIncarnation incarnation = TargetIncarnation.of("t", 1_700_000_000_000L);
 		LoadUpdate update = new LoadUpdate("e", "z", 7, 3, true, true, 1_000,
 				List.of(new WorkAtTarget(incarnation, 1, 2, 3, 4, true, 5, true)),
 				List.of(new RetryBudgetUsage("s", 6, 7)),
 				new BackpressureUpdate(
 						List.of(new RateLimitUpdate(incarnation, OptionalDouble.of(2.7), 40),
-								new RateLimitUpdate(TargetRun.of("u"), OptionalDouble.empty(), 0),
-								new RateLimitUpdate(TargetRun.of("v"), OptionalDouble.of(0), 5)),
-						List.of(incarnation, TargetRun.of("w"))),
+								new RateLimitUpdate(TargetIncarnation.of("u"), OptionalDouble.empty(), 0),
+								new RateLimitUpdate(TargetIncarnation.of("v"), OptionalDouble.of(0), 5)),
+						List.of(incarnation, TargetIncarnation.of("w"))),
 				List.of("10.0.0.1:7200"));
 		assertThat(EntryNewsCodec.decode(EntryNewsCodec.encode(update))).isEqualTo(update);
 	}
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/SuspectCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/SuspectCodecTests.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 
 import com.google.protobuf.UnknownFieldSet;
-import dev.laneworks.core.directory.TargetRun;
+import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.poison.RequestDigest;
 import dev.laneworks.core.poison.SuspectReport;
 import dev.laneworks.core.poison.TargetCrash;
@@ -27,8 +27,8 @@
 	void decodesEncodedReports() {
 		List<SuspectReport> reports = List.of(
 				new SuspectReport(DIGEST,
-						List.of(new TargetCrash(TargetRun.of("i-a", 1_700_000_000_000L), 12),
-								new TargetCrash(TargetRun.of("i@b"), 0)),
+						List.of(new TargetCrash(TargetIncarnation.of("i-a", 1_700_000_000_000L), 12),
+								new TargetCrash(TargetIncarnation.of("i@b"), 0)),
 						OptionalLong.empty()),
 				new SuspectReport(new RequestDigest(0, 0, 0), List.of(), OptionalLong.of(0)));
 		Optional<Protocol.EntryDatagram> read = EntryDatagramCodec.decode(EntryDatagramCodec.encode(reports));
@@ -67,7 +67,7 @@
 	}
 
 	private static TargetCrash crash(String target) {
-		return new TargetCrash(TargetRun.of(target, 1_700_000_000_000L), 600_000);
+		return new TargetCrash(TargetIncarnation.of(target, 1_700_000_000_000L), 600_000);
 	}
 
 }
