--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
@@ -62,9 +62,9 @@
 	public void recordResponse(ListedTarget target, BackpressureSignals signals, long requestSentAt, long now) {
 		recordLimit(target, signals.limitPerSecond(), requestSentAt, now);
 		recordRequestedBackoff(target, signals.backoffMillis(), now);
-		if (signals.draining() && this.draining.recordOwnReport(target.run(), now)) {
+		if (signals.draining() && this.draining.recordOwnReport(target.incarnation(), now)) {
 			record(target, "reported that it is leaving: no new requests are sent there");
-			this.announcer.accept(target.run());
+			this.announcer.accept(target.incarnation());
 		}
 	}
 
@@ -98,7 +98,7 @@
 	 * @return {@code true} if it accepts no new requests
 	 */
 	public boolean isDraining(ListedTarget target) {
-		return this.draining.contains(target.run());
+		return this.draining.contains(target.incarnation());
 	}
 
 	/**
@@ -117,7 +117,7 @@
 	 */
 	public long waitMillis(ListedTarget target, long now) {
 		return isUnrestricted() ? 0
-				: Math.max(this.limits.freeInMillis(target, now), this.backoffs.remainingMillis(target.run(), now));
+				: Math.max(this.limits.freeInMillis(target, now), this.backoffs.remainingMillis(target.incarnation(), now));
 	}
 
 	/**
@@ -127,7 +127,7 @@
 	 */
 	public void recordSent(ListedTarget target, long now) {
 		this.limits.sent(target, now);
-		this.backoffs.sent(target.run(), now);
+		this.backoffs.sent(target.incarnation(), now);
 	}
 
 	/**
@@ -136,8 +136,8 @@
 	 * @param now the current time in milliseconds
 	 */
 	public void recordUnlisted(ListedTarget target, long now) {
-		this.limits.recordUnlisted(target.run(), now);
-		this.invalid.remove(target.run());
+		this.limits.recordUnlisted(target.incarnation(), now);
+		this.invalid.remove(target.incarnation());
 	}
 
 	/**
@@ -155,7 +155,7 @@
 	 * @return {@code true} if this entry must not send new requests to it
 	 */
 	public boolean isBackingOff(ListedTarget target, long now) {
-		return this.backoffs.remainingMillis(target.run(), now) > 0;
+		return this.backoffs.remainingMillis(target.incarnation(), now) > 0;
 	}
 
 	/**
@@ -167,7 +167,7 @@
 	 * reached
 	 */
 	public boolean allowsReturn(ListedTarget target, long now) {
-		return this.backoffs.takesReturn(target.run(), now);
+		return this.backoffs.takesReturn(target.incarnation(), now);
 	}
 
 	/**
@@ -203,7 +203,7 @@
 					perSecond.isPresent()
 							? "reported a rate limit of " + perSecond.getAsDouble() + " requests per second"
 							: "lifted its rate limit");
-			this.announcer.accept(target.run());
+			this.announcer.accept(target.incarnation());
 		}
 	}
 
@@ -218,11 +218,11 @@
 		if (!isBackingOff(target, now)) {
 			record(target, "asked for a backoff of " + millis.getAsLong() + " ms");
 		}
-		this.backoffs.recordBackoff(target.run(), millis.getAsLong(), now);
+		this.backoffs.recordBackoff(target.incarnation(), millis.getAsLong(), now);
 	}
 
 	private void recordInvalid(ListedTarget target, String what) {
-		if (this.invalid.add(target.run())) {
+		if (this.invalid.add(target.incarnation())) {
 			record(target, what + "; passed over");
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
@@ -109,12 +109,12 @@
 	 * @return {@code true} if the limit changed
 	 */
 	boolean recordReported(ListedTarget target, OptionalDouble perSecond, long requestSentAt, long now) {
-		Limit recorded = this.byIncarnation.get(target.run());
+		Limit recorded = this.byIncarnation.get(target.incarnation());
 		boolean isKnownUnlimited = recorded == null || recorded.perSecond.isEmpty();
 		if (perSecond.isEmpty() && (isKnownUnlimited || requestSentAt < recorded.reportedAt)) {
 			return false;
 		}
-		return update(target.run(), perSecond, now);
+		return update(target.incarnation(), perSecond, now);
 	}
 
 	/**
@@ -168,7 +168,7 @@
 	 * permit
 	 */
 	long freeInMillis(ListedTarget target, long now) {
-		Limit limit = this.byIncarnation.get(target.run());
+		Limit limit = this.byIncarnation.get(target.incarnation());
 		if (limit == null || limit.perSecond.isEmpty()) {
 			return 0;
 		}
@@ -183,7 +183,7 @@
 	 * @param now the current time in milliseconds
 	 */
 	void sent(ListedTarget target, long now) {
-		Limit limit = this.byIncarnation.get(target.run());
+		Limit limit = this.byIncarnation.get(target.incarnation());
 		if (limit != null && limit.perSecond.isPresent()) {
 			limit.unlistedAt = OptionalLong.empty();
 			advance(limit, target, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/EndedIncarnations.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/EndedIncarnations.java
@@ -23,8 +23,8 @@
 	private long count;
 
 	void add(ListedTarget target) {
-		this.ended.remove(target.run());
-		this.ended.put(target.run(), new Ended(target.address(), this.count++));
+		this.ended.remove(target.incarnation());
+		this.ended.put(target.incarnation(), new Ended(target.address(), this.count++));
 		if (this.ended.size() > MAX_INCARNATIONS) {
 			this.ended.remove(this.ended.keySet().iterator().next());
 		}
@@ -42,11 +42,11 @@
 	 * @return {@code false} also if the listed target is not known to have been there
 	 */
 	boolean wasAtAddressBefore(ListedTarget listed, ListedTarget known) {
-		Ended endedListed = this.ended.get(listed.run());
+		Ended endedListed = this.ended.get(listed.incarnation());
 		if (endedListed == null || !endedListed.address.equals(listed.address())) {
 			return false;
 		}
-		Ended endedKnown = this.ended.get(known.run());
+		Ended endedKnown = this.ended.get(known.incarnation());
 		return endedKnown == null || endedListed.number < endedKnown.number;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/ListedTarget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/ListedTarget.java
@@ -12,7 +12,7 @@
  * @param port its port
  * @param dataCentre the data centre in which it runs
  * @param slots the number of requests that it executes at once
- * @param leaving whether it reports that it accepts no new requests
+ * @param draining whether it reports that it accepts no new requests
  * @param coldMillis the remaining time that it reports to be cold, in milliseconds; empty
  * if it reports none, and negative if the value is invalid
  * @param startMillis when it started, in milliseconds of its own clock; empty if it does
@@ -20,7 +20,7 @@
  * @since 0.2
  */
 public record ListedTarget(String id, String service, String host, int port, String dataCentre, int slots,
-		boolean leaving, OptionalLong coldMillis, OptionalLong startMillis) {
+		boolean draining, OptionalLong coldMillis, OptionalLong startMillis) {
 
 	public ListedTarget {
 		Objects.requireNonNull(id, "id must not be null");
@@ -39,12 +39,12 @@
 	 * @param port its port
 	 * @param dataCentre the data centre in which it runs
 	 * @param slots the number of requests that it executes at once
-	 * @param leaving whether it reports that it accepts no new requests
+	 * @param draining whether it reports that it accepts no new requests
 	 * @param coldMillis the remaining time that it reports to be cold, in milliseconds
 	 */
-	public ListedTarget(String id, String service, String host, int port, String dataCentre, int slots, boolean leaving,
+	public ListedTarget(String id, String service, String host, int port, String dataCentre, int slots, boolean draining,
 			OptionalLong coldMillis) {
-		this(id, service, host, port, dataCentre, slots, leaving, coldMillis, OptionalLong.empty());
+		this(id, service, host, port, dataCentre, slots, draining, coldMillis, OptionalLong.empty());
 	}
 
 	/**
@@ -55,11 +55,11 @@
 	 * @param port its port
 	 * @param dataCentre the data centre in which it runs
 	 * @param slots the number of requests that it executes at once
-	 * @param leaving whether it reports that it accepts no new requests
+	 * @param draining whether it reports that it accepts no new requests
 	 */
 	public ListedTarget(String id, String service, String host, int port, String dataCentre, int slots,
-			boolean leaving) {
-		this(id, service, host, port, dataCentre, slots, leaving, OptionalLong.empty());
+			boolean draining) {
+		this(id, service, host, port, dataCentre, slots, draining, OptionalLong.empty());
 	}
 
 	/**
@@ -68,8 +68,8 @@
 	 * is not known
 	 * @return the copy
 	 */
-	public ListedTarget startedAt(OptionalLong millis) {
-		return new ListedTarget(this.id, this.service, this.host, this.port, this.dataCentre, this.slots, this.leaving,
+	public ListedTarget withStartMillis(OptionalLong millis) {
+		return new ListedTarget(this.id, this.service, this.host, this.port, this.dataCentre, this.slots, this.draining,
 				this.coldMillis, millis);
 	}
 
@@ -77,7 +77,7 @@
 	 * Return the incarnation that this entry describes.
 	 * @return the incarnation
 	 */
-	public TargetIncarnation run() {
+	public TargetIncarnation incarnation() {
 		return new TargetIncarnation(this.id, this.startMillis);
 	}
 
@@ -86,8 +86,8 @@
 	 * @param other the other entry
 	 * @return {@code true} if the id and the start time are equal
 	 */
-	public boolean isSameRun(ListedTarget other) {
-		return run().equals(other.run());
+	public boolean isSameIncarnation(ListedTarget other) {
+		return incarnation().equals(other.incarnation());
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -153,7 +153,7 @@
 	// An entry without a start time counts as one of the known incarnation.
 	private ListedTarget withKnownStart(ListedTarget listed) {
 		return (listed.startMillis().isPresent()) ? listed
-				: find(listed.id()).map((k) -> listed.startedAt(k.startMillis())).orElse(listed);
+				: find(listed.id()).map((k) -> listed.withStartMillis(k.startMillis())).orElse(listed);
 	}
 
 	// An address is assigned to another target only after its former one has ended,
@@ -181,7 +181,7 @@
 	// The new incarnation's entry is reported first, since requests of the former one
 	// may move to it.
 	private void endFormerIncarnation(ListedTarget target) {
-		Optional<ListedTarget> former = find(target.id()).filter((k) -> !k.isSameRun(target));
+		Optional<ListedTarget> former = find(target.id()).filter((k) -> !k.isSameIncarnation(target));
 		if (former.isEmpty()) {
 			return;
 		}
@@ -194,11 +194,11 @@
 		this.expiryDeadlines.remove(target.id());
 		ListedTarget before = this.targets.put(target.id(), target);
 		boolean wasDraining = this.draining.contains(target.id());
-		if (target.leaving() && !wasDraining) {
+		if (target.draining() && !wasDraining) {
 			this.draining.add(target.id());
 			notifyListener(() -> this.listener.leaving(target, LeavingCause.SAID_SO));
 		}
-		if (!target.leaving() && before == null && !wasDraining) {
+		if (!target.draining() && before == null && !wasDraining) {
 			notifyListener(() -> this.listener.joined(target));
 		}
 		if (!target.equals(before)) {
@@ -276,7 +276,7 @@
 		}
 		this.staleEntries.remove(id);
 		boolean isStale = this.readingOlderCopy && !this.targets.containsKey(id)
-				&& this.endedIncarnations.contains(listing.target().run());
+				&& this.endedIncarnations.contains(listing.target().incarnation());
 		if (isStale) {
 			this.staleEntries.put(id, listing);
 			this.timers.schedule(now + STALE_HOLD_MILLIS, (t) -> releaseStale(listing));
@@ -317,7 +317,7 @@
 	}
 
 	private void markDraining(TargetIncarnation incarnation, LeavingCause cause) {
-		find(incarnation.id()).filter((t) -> t.run().equals(incarnation) && this.draining.add(incarnation.id()))
+		find(incarnation.id()).filter((t) -> t.incarnation().equals(incarnation) && this.draining.add(incarnation.id()))
 			.ifPresent((t) -> notifyListener(() -> this.listener.leaving(t, cause)));
 	}
 
@@ -408,7 +408,7 @@
 	 * @return {@code false} if it is gone or has been replaced
 	 */
 	public boolean isKnownRun(ListedTarget target) {
-		return find(target.id()).filter((k) -> k.isSameRun(target)).isPresent();
+		return find(target.id()).filter((k) -> k.isSameIncarnation(target)).isPresent();
 	}
 
 	/**
@@ -417,7 +417,7 @@
 	 * @return {@code false} if it is gone, not yet listed or has been replaced
 	 */
 	public boolean isKnownRun(TargetIncarnation incarnation) {
-		return find(incarnation.id()).filter((k) -> k.run().equals(incarnation)).isPresent();
+		return find(incarnation.id()).filter((k) -> k.incarnation().equals(incarnation)).isPresent();
 	}
 
 	/**
@@ -427,7 +427,7 @@
 	 * @return {@code true} if another incarnation is known
 	 */
 	public boolean isFormerRun(ListedTarget target) {
-		return find(target.id()).filter((k) -> !k.isSameRun(target)).isPresent();
+		return find(target.id()).filter((k) -> !k.isSameIncarnation(target)).isPresent();
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -98,7 +98,7 @@
 		ListedTarget target = attempt.target();
 		call.recordNotRun();
 		if (head.isMisdirected()) {
-			this.directory.refusedWork(target.run());
+			this.directory.refusedWork(target.incarnation());
 		}
 		else {
 			this.beliefs.of(target).full(now + this.settings.comeBackMillis());
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
@@ -88,10 +88,10 @@
 			return;
 		}
 		if (millis == 0) {
-			this.byRun.remove(target.run());
+			this.byRun.remove(target.incarnation());
 			return;
 		}
-		ColdTarget state = this.byRun.computeIfAbsent(target.run(), (incarnation) -> new ColdTarget());
+		ColdTarget state = this.byRun.computeIfAbsent(target.incarnation(), (incarnation) -> new ColdTarget());
 		if (now >= state.until) {
 			record(target, "cold for " + millis + " ms, limited to "
 					+ this.bound.requests(this.coldPerSecond.applyAsDouble(target.service())) + " requests a second");
@@ -117,7 +117,7 @@
 	 * @return the delay in milliseconds; 0 if it accepts one now
 	 */
 	public long freeInMillis(ListedTarget target, long now) {
-		ColdTarget cold = this.byRun.get(target.run());
+		ColdTarget cold = this.byRun.get(target.incarnation());
 		double perSecond = this.coldPerSecond.applyAsDouble(target.service());
 		if (cold == null || now >= cold.until || perSecond <= 0) {
 			return 0;
@@ -137,7 +137,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void sent(ListedTarget target, long now) {
-		ColdTarget cold = this.byRun.get(target.run());
+		ColdTarget cold = this.byRun.get(target.incarnation());
 		if (cold != null && now < cold.until) {
 			cold.sent.add(now);
 		}
@@ -148,7 +148,7 @@
 	 * @param target the removed target
 	 */
 	public void forget(ListedTarget target) {
-		this.byRun.remove(target.run());
+		this.byRun.remove(target.incarnation());
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -192,10 +192,10 @@
 	 */
 	void dropCopiesAt(DirectCall call, ListedTarget former) {
 		call.attempt()
-			.filter((a) -> a.backup().filter(former::isSameRun).isPresent())
+			.filter((a) -> a.backup().filter(former::isSameIncarnation).isPresent())
 			.ifPresent((a) -> this.sender.dropBackup(call, a, "its engine started again"));
-		call.standby().filter((s) -> s.destination().isSameRun(former)).ifPresent((s) -> this.standbys.drop(call));
-		call.stoppedAt(call.stoppedAt().filter((t) -> !t.isSameRun(former)));
+		call.standby().filter((s) -> s.destination().isSameIncarnation(former)).ifPresent((s) -> this.standbys.drop(call));
+		call.stoppedAt(call.stoppedAt().filter((t) -> !t.isSameIncarnation(former)));
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -447,7 +447,7 @@
 		this.standbys.leaving(target, now);
 		this.beliefs.of(target).leaving(now);
 		for (DirectCall call : List.copyOf(this.calls.values())) {
-			if (call.attempt().filter((a) -> a.isAnswering() && a.target().isSameRun(target)).isPresent()) {
+			if (call.attempt().filter((a) -> a.isAnswering() && a.target().isSameIncarnation(target)).isPresent()) {
 				this.continuation.moveFromEngine(call, now);
 			}
 		}
@@ -476,7 +476,7 @@
 	}
 
 	private void failAfterRestart(DirectCall call, Attempt attempt, ListedTarget former, long now) {
-		if (!attempt.target().isSameRun(former)) {
+		if (!attempt.target().isSameIncarnation(former)) {
 			return;
 		}
 		if (attempt.isSent()) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -135,11 +135,11 @@
 	void brokeOff(DirectCall call, Attempt attempt, long now) {
 		ListedTarget target = attempt.target();
 		boolean wasExpectedToStay = this.directory.isStaying(target) || this.directory.isFormerRun(target);
-		if (!this.enabled || call.isCleared() || !wasExpectedToStay || this.announcedShutdown.contains(target.run())
+		if (!this.enabled || call.isCleared() || !wasExpectedToStay || this.announcedShutdown.contains(target.incarnation())
 				|| this.announcedDraining.test(target)) {
 			return;
 		}
-		if (this.brokenConnections.add(call.request().digest(), call.request().id(), target.run(), now)) {
+		if (this.brokenConnections.add(call.request().digest(), call.request().id(), target.incarnation(), now)) {
 			CHECK_DELAYS_MILLIS.forEach((m) -> this.timers.schedule(now + m, (t) -> this.outputs.check(target)));
 		}
 	}
@@ -159,7 +159,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void reached(ListedTarget target, long now) {
-		this.brokenConnections.connectionAccepted(target.run(), now);
+		this.brokenConnections.connectionAccepted(target.incarnation(), now);
 	}
 
 	/**
@@ -175,8 +175,8 @@
 			case VANISHED, LAPSED, ADDRESS_TAKEN, STARTED_AGAIN ->
 				recordCrash(target, "the target list reports " + cause, now);
 			case SAID_SO, SAID_SO_WHEN_ASKED, REFUSED -> {
-				this.announcedShutdown.add(target.run());
-				this.brokenConnections.remove(target.run());
+				this.announcedShutdown.add(target.incarnation());
+				this.brokenConnections.remove(target.incarnation());
 			}
 		}
 	}
@@ -191,7 +191,7 @@
 		if (this.directory.isFormerRun(target)) {
 			recordCrash(target, "another incarnation is listed", now);
 		}
-		this.announcedShutdown.remove(target.run());
+		this.announcedShutdown.remove(target.incarnation());
 	}
 
 	void ranWhole(DirectCall call, long now) {
@@ -209,8 +209,8 @@
 	}
 
 	private void recordCrash(ListedTarget target, String evidence, long now) {
-		for (BrokenConnections.Broken request : this.brokenConnections.takeAfterCrash(target.run(), now)) {
-			boolean isNew = this.suspects.recordCrash(request.digest(), target.run(), request.brokenAt(), now);
+		for (BrokenConnections.Broken request : this.brokenConnections.takeAfterCrash(target.incarnation(), now)) {
+			boolean isNew = this.suspects.recordCrash(request.digest(), target.incarnation(), request.brokenAt(), now);
 			this.audit.record(AuditEvent.of(AuditKind.SUSPECTED, request.requestId(), target.id(),
 					"the target crashed while executing it, " + evidence + "; digest " + request.digest().label() + ", "
 							+ this.suspects.crashedTargets(request.digest()).size() + " crashes so far"
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -127,7 +127,7 @@
 	void copied(DirectCall call, CopyOrder order, CopyResult result, long now) {
 		endActiveCopy(call);
 		Standby standby = call.standby().orElse(null);
-		if (standby == null || !standby.destination().isSameRun(order.destination())) {
+		if (standby == null || !standby.destination().isSameIncarnation(order.destination())) {
 			if (!result.handle().isEmpty()) {
 				this.outputs.releaseCopy(order.source(), result.handle());
 			}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -96,7 +96,7 @@
 		ListedTarget source = call.attempt().get().target();
 		call.copy(new Copying(source));
 		long noticedAt = this.estimates.of(source).leavingSince().orElse(now);
-		MoveQueue queue = this.queues.computeIfAbsent(source.run(),
+		MoveQueue queue = this.queues.computeIfAbsent(source.incarnation(),
 				(incarnation) -> new MoveQueue(source, noticedAt, this.estimates));
 		queue.add(call);
 		// Deferred, so that all generations of the engine are queued before the first is
@@ -132,8 +132,8 @@
 	 */
 	boolean ordered(DirectCall call, CopyOrder order) {
 		return call.copying()
-			.filter((c) -> c.phase() != CopyPhase.WAITING && c.source().isSameRun(order.source())
-					&& c.destination().isSameRun(order.destination()))
+			.filter((c) -> c.phase() != CopyPhase.WAITING && c.source().isSameIncarnation(order.source())
+					&& c.destination().isSameIncarnation(order.destination()))
 			.isPresent();
 	}
 
@@ -259,7 +259,7 @@
 	}
 
 	private void handleRunningCopy(DirectCall call, Copying copying, CopyResult result, long now) {
-		MoveQueue queue = this.queues.get(copying.source().run());
+		MoveQueue queue = this.queues.get(copying.source().incarnation());
 		switch (result.outcome()) {
 			case COPIED -> {
 				if (this.resumption.isEvacuated(copying.destination())
@@ -334,7 +334,7 @@
 	// last partial copy.
 	private void handleFinalCopyFailure(DirectCall call, Copying copying, CopyResult result, long now) {
 		if (!copying.isSourceClosed()) {
-			MoveQueue queue = this.queues.get(copying.source().run());
+			MoveQueue queue = this.queues.get(copying.source().incarnation());
 			releaseReservation(copying);
 			queue.endActiveCopy();
 			requeue(queue, call, now);
@@ -371,7 +371,7 @@
 			return;
 		}
 		ListedTarget destination = copying.destination();
-		long sinceNotice = this.queues.get(copying.source().run()).millisSinceNotice(now);
+		long sinceNotice = this.queues.get(copying.source().incarnation()).millisSinceNotice(now);
 		record(call, copying, "resumes at " + destination.id() + " after event " + call.lastEvent() + ", " + sinceNotice
 				+ " ms after the notice");
 		removeFromQueue(call, copying, now);
@@ -381,11 +381,11 @@
 
 	private void removeFromQueue(DirectCall call, Copying copying, long now) {
 		releaseReservation(copying);
-		MoveQueue queue = this.queues.get(copying.source().run());
+		MoveQueue queue = this.queues.get(copying.source().incarnation());
 		queue.remove(call);
 		call.endCopy();
 		if (queue.isEmpty()) {
-			this.queues.remove(copying.source().run());
+			this.queues.remove(copying.source().incarnation());
 			return;
 		}
 		copyNext(queue, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
@@ -125,7 +125,7 @@
 	}
 
 	private long refusalsOfAllEntries(TargetBelief estimate) {
-		return estimate.refused() + this.others.apply(estimate.target().run()).map(WorkAtTarget::refused).orElse(0);
+		return estimate.refused() + this.others.apply(estimate.target().incarnation()).map(WorkAtTarget::refused).orElse(0);
 	}
 
 	/**
@@ -135,7 +135,7 @@
 	 * @param change the update
 	 */
 	public void change(ListedTarget target, Consumer<TargetBelief> change) {
-		TargetBelief estimate = this.byIncarnation.get(target.run());
+		TargetBelief estimate = this.byIncarnation.get(target.incarnation());
 		if (estimate == null) {
 			return;
 		}
@@ -151,7 +151,7 @@
 
 	private void removeIfUnused(TargetBelief estimate) {
 		if (estimate.isGone() && estimate.inFlight() <= 0 && estimate.toMove() <= 0 && estimate.ownTokens() <= 0) {
-			this.byIncarnation.remove(estimate.target().run());
+			this.byIncarnation.remove(estimate.target().incarnation());
 		}
 	}
 
@@ -163,7 +163,7 @@
 		return this.byIncarnation.values()
 			.stream()
 			.filter((b) -> b.inFlight() > 0 || b.ownTokens() > 0 || hasSignalsToReport(b))
-			.map((b) -> new WorkAtTarget(b.target().run(), b.inFlight(), b.ownTokens(), b.ownUnread(), b.toMove(),
+			.map((b) -> new WorkAtTarget(b.target().incarnation(), b.inFlight(), b.ownTokens(), b.ownUnread(), b.toMove(),
 					b.isCopying(), b.refused(), b.hasSaidLeaving()))
 			.toList();
 	}
@@ -180,7 +180,7 @@
 	 */
 	public double requests(ListedTarget target, long now) {
 		TargetBelief estimate = of(target);
-		return estimate.inFlight() + this.others.apply(target.run())
+		return estimate.inFlight() + this.others.apply(target.incarnation())
 			.map((w) -> (double) w.requests())
 			.orElseGet(() -> estimate.othersTold(now));
 	}
@@ -195,7 +195,7 @@
 	 */
 	public double heldTokens(ListedTarget target, double tokensOfOthers, long now) {
 		TargetBelief estimate = of(target);
-		return estimate.ownTokens() + this.others.apply(target.run())
+		return estimate.ownTokens() + this.others.apply(target.incarnation())
 			.map((w) -> (double) w.reservedTokens())
 			.orElseGet(() -> estimate.othersTold(now) * tokensOfOthers);
 	}
@@ -206,7 +206,7 @@
 	 * @return the number of tokens
 	 */
 	public long unreadTokens(ListedTarget target) {
-		return of(target).ownUnread() + this.others.apply(target.run()).map(WorkAtTarget::pendingPromptTokens).orElse(0L);
+		return of(target).ownUnread() + this.others.apply(target.incarnation()).map(WorkAtTarget::pendingPromptTokens).orElse(0L);
 	}
 
 	/**
@@ -215,7 +215,7 @@
 	 * @return {@code true} if its link is in use
 	 */
 	public boolean isCopying(ListedTarget target) {
-		return of(target).isCopying() || this.others.apply(target.run()).map(WorkAtTarget::copying).orElse(false);
+		return of(target).isCopying() || this.others.apply(target.incarnation()).map(WorkAtTarget::copying).orElse(false);
 	}
 
 	/**
@@ -224,7 +224,7 @@
 	 * @return the recorded state, never {@code null}
 	 */
 	public TargetBelief of(ListedTarget target) {
-		return this.byIncarnation.computeIfAbsent(target.run(), (incarnation) -> new TargetBelief(target));
+		return this.byIncarnation.computeIfAbsent(target.incarnation(), (incarnation) -> new TargetBelief(target));
 	}
 
 	/**
@@ -233,7 +233,7 @@
 	 * @param target the removed target
 	 */
 	public void forget(ListedTarget target) {
-		TargetBelief estimate = this.byIncarnation.get(target.run());
+		TargetBelief estimate = this.byIncarnation.get(target.incarnation());
 		if (estimate != null) {
 			estimate.gone();
 			removeIfUnused(estimate);
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
@@ -75,7 +75,7 @@
 
 	// Sends no second query to an incarnation with an unanswered one.
 	private void query(ListedTarget engine) {
-		if (this.unanswered.add(engine.run())) {
+		if (this.unanswered.add(engine.incarnation())) {
 			this.outputs.ask(engine);
 		}
 	}
@@ -87,7 +87,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void answered(ListedTarget engine, EngineAnswer answer, long now) {
-		this.unanswered.remove(engine.run());
+		this.unanswered.remove(engine.incarnation());
 		switch (answer.outcome()) {
 			case LEAVES -> handleDraining(engine, answer, now);
 			case REFUSED -> this.outputs.refused(engine, now);
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
@@ -140,7 +140,7 @@
 	void limitSurvivesABriefAbsenceOfTheTarget() {
 		this.share = 0.001;
 		report(2, 0);
-		this.limits.recordUnlisted(this.target.run(), 1_000);
+		this.limits.recordUnlisted(this.target.incarnation(), 1_000);
 		assertThat(this.limits.updates(1_000)).isEmpty();
 		assertThat(this.limits.freeInMillis(this.target, 61_000)).isGreaterThan(0L);
 		this.limits.updates(61_001);
@@ -165,7 +165,7 @@
 	}
 
 	private RateLimitUpdate news(OptionalDouble perSecond, long ageMillis) {
-		return new RateLimitUpdate(this.target.run(), perSecond, ageMillis);
+		return new RateLimitUpdate(this.target.incarnation(), perSecond, ageMillis);
 	}
 
 	private int sentIn(long from, long to, long step) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
@@ -120,7 +120,7 @@
 	@Test
 	void anEntryWithoutAStartTimeBelongsToTheKnownIncarnation() {
 		putListing(FIRST, false, 5);
-		this.directory.put(new Listing(target(FIRST, true).startedAt(OptionalLong.empty()), 6));
+		this.directory.put(new Listing(target(FIRST, true).withStartMillis(OptionalLong.empty()), 6));
 		assertThat(this.directory.takesWork("a")).isFalse();
 		assertThat(this.directory.isStaying(target(FIRST, true))).isFalse();
 		assertThat(this.directory.isFormerRun(target(FIRST, true))).isFalse();
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -192,7 +192,7 @@
 	 * @return the newly listed incarnation
 	 */
 	ListedTarget startAgain(ListedTarget target) {
-		ListedTarget started = target.startedAt(OptionalLong.of(target.startMillis().orElse(0) + 1));
+		ListedTarget started = target.withStartMillis(OptionalLong.of(target.startMillis().orElse(0) + 1));
 		this.directory.put(started);
 		settle();
 		return started;
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
@@ -281,7 +281,7 @@
 		private void answer(Sent sent, int status, boolean isRejected) {
 			boolean isOpen = !this.harness.abandoned.contains(sent.call() + "/" + sent.attempt());
 			BackpressureSignals signals = this.needs.filter((n) -> isOpen)
-				.map((n) -> n.say(sent.target().run(), isRejected, this.harness.now))
+				.map((n) -> n.say(sent.target().incarnation(), isRejected, this.harness.now))
 				.orElse(BackpressureSignals.NONE);
 			this.harness.answer(sent, status, isRejected, signals);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
@@ -81,7 +81,7 @@
 	 * @param now the current time in milliseconds of virtual time
 	 */
 	void ordered(Sent sent, long now) {
-		TargetIncarnation target = sent.target().run();
+		TargetIncarnation target = sent.target().incarnation();
 		boolean isNew = sent.order().resume().isEmpty();
 		if (isNew) {
 			assertWithMessage("%s: new work at %s, which is draining", this.name, target).that(this.draining)
@@ -115,7 +115,7 @@
 	 * @param now the current time in milliseconds of virtual time
 	 */
 	void goesOut(Sent sent, long now) {
-		TargetIncarnation target = sent.target().run();
+		TargetIncarnation target = sent.target().incarnation();
 		if (sent.order().resume().isEmpty()) {
 			assertWithMessage("%s: written to %s, which is draining", this.name, target).that(this.draining)
 				.doesNotContain(target);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
@@ -158,7 +158,7 @@
 		this.harness.startAgain(order.destination());
 		this.harness.copied(Outcome.COPIED, "h1");
 		CopyOrder next = this.harness.copies.get(this.harness.copies.size() - 1);
-		assertThat(next.destination().isSameRun(order.destination())).isFalse();
+		assertThat(next.destination().isSameIncarnation(order.destination())).isFalse();
 		assertThat(next.stop()).isFalse();
 	}
 
@@ -193,7 +193,7 @@
 		this.harness.startAgain(this.harness.copies.get(1).destination());
 		this.harness.breakOff(first);
 		this.harness.copied(Outcome.COPIED, "h1");
-		assertThat(this.harness.arrive().target().isSameRun(first.target())).isTrue();
+		assertThat(this.harness.arrive().target().isSameIncarnation(first.target())).isTrue();
 	}
 
 	@Test
@@ -244,7 +244,7 @@
 			.stream()
 			.filter((t) -> !t.id().equals(first.target().id()))
 			.findFirst()
-			.map((t) -> t.startedAt(OptionalLong.empty()))
+			.map((t) -> t.withStartMillis(OptionalLong.empty()))
 			.orElseThrow();
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
@@ -107,7 +107,7 @@
 	void targetThatAnnouncedDrainingReceivesNoNewWorkRegardlessOfTheList() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		respondWith(DRAINING_SIGNAL);
-		assertThat(this.harness.needsToTell).containsExactly(target.run());
+		assertThat(this.harness.needsToTell).containsExactly(target.incarnation());
 		assertRefusedAtOnce();
 		this.harness.directory.put(target);
 		assertRefusedAtOnce();
@@ -143,7 +143,7 @@
 	@Test
 	void signalsOfOtherEntriesAreAppliedButNotForwarded() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
-		BackpressureUpdate signals = new BackpressureUpdate(List.of(), List.of(target.run()));
+		BackpressureUpdate signals = new BackpressureUpdate(List.of(), List.of(target.incarnation()));
 		this.harness.backpressure.recordGossiped(signals, (t) -> true, 0);
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
 		assertThat(this.harness.answers(this.calls)).containsExactly("refused 503");
@@ -159,7 +159,7 @@
 		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 3, 3);
 		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 4, 4);
 		assertThat(this.harness.needsToTell).hasSize(4);
-		assertThat(this.harness.backpressure.signals(60_004).draining()).containsExactly(target.run());
+		assertThat(this.harness.backpressure.signals(60_004).draining()).containsExactly(target.incarnation());
 		assertThat(this.harness.backpressure.signals(60_005).draining()).isEmpty();
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
@@ -71,7 +71,7 @@
 
 	@Test
 	void ignoresAnswersOfAnotherIncarnation() {
-		ListedTarget queried = engine("a").startedAt(OptionalLong.of(5));
+		ListedTarget queried = engine("a").withStartMillis(OptionalLong.of(5));
 		OptionalLong soon = OptionalLong.of(900);
 		this.inquiry.answered(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(4)), 10);
 		assertThat(this.calls).isEmpty();
@@ -84,7 +84,7 @@
 		this.engines.remove(1);
 		this.listUnavailable = true;
 		this.inquiry.start(0);
-		this.engines.set(0, engine("a").startedAt(OptionalLong.of(5)));
+		this.engines.set(0, engine("a").withStartMillis(OptionalLong.of(5)));
 		this.timers.run(300);
 		assertThat(this.calls).containsExactly("ask a", "ask a");
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
@@ -73,7 +73,7 @@
 		this.audit.record(AuditEvent.of(AuditKind.MEMBERSHIP, engine.id(), engine.id(),
 				"reports that it is leaving in " + answer.leavesMillis().orElse(0) + " ms"));
 		this.beliefs.saidLeaving(engine);
-		this.store.directory().saidLeaving(engine.run());
+		this.store.directory().saidLeaving(engine.incarnation());
 	}
 
 	@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -95,7 +95,7 @@
 				(n) -> sendStoreUpdate(this.gossip.nearAddresses(), n), (n) -> sendStoreUpdate(
 						this.gossip.topOfOtherDataCentres(SharedWatch.RECEIVERS_PER_GROUP, SharedWatch::rank), n));
 		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
-			beliefs.onChange((target, change) -> this.gossip.workChanged(target.run(), reach(change), loop.now()));
+			beliefs.onChange((target, change) -> this.gossip.workChanged(target.incarnation(), reach(change), loop.now()));
 		}
 	}
 
@@ -228,12 +228,12 @@
 
 	@Override
 	public boolean isOurs(ListedTarget source, long sinceNotice, long now) {
-		return !this.mechanisms.use(Mechanism.COPY_TURNS) || this.gossip.mayStartMove(source.run(), sinceNotice, now);
+		return !this.mechanisms.use(Mechanism.COPY_TURNS) || this.gossip.mayStartMove(source.incarnation(), sinceNotice, now);
 	}
 
 	@Override
 	public boolean isQuiet(ListedTarget source, ListedTarget destination) {
-		return !this.gossip.isCopying(source.run()) && !this.gossip.isCopying(destination.run());
+		return !this.gossip.isCopying(source.incarnation()) && !this.gossip.isCopying(destination.incarnation());
 	}
 
 	@Override
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -475,7 +475,7 @@
 		@Override
 		public void joined(ListedTarget target) {
 			this.joined.merge(target.id(), 1, Integer::sum);
-			this.runsJoined.merge(target.run(), 1, Integer::sum);
+			this.runsJoined.merge(target.incarnation(), 1, Integer::sum);
 			this.takingWork.add(target.id());
 		}
 
