--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/RevisionTracker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/RevisionTracker.java
@@ -28,7 +28,7 @@
 	 * @return {@code false} if a newer update was recorded before
 	 */
 	boolean recordIfInOrder(String id, long revision) {
-		if (revision == Listing.UNKNOWN_REVISION) {
+		if (revision == TargetListing.UNKNOWN_REVISION) {
 			return true;
 		}
 		Long known = this.newestRevisions.remove(id);
@@ -47,8 +47,8 @@
 	 * @return {@code false} also if either revision is not known
 	 */
 	boolean isNewerThan(String id, long revision) {
-		return revision != Listing.UNKNOWN_REVISION
-				&& this.newestRevisions.getOrDefault(id, Listing.UNKNOWN_REVISION) > revision;
+		return revision != TargetListing.UNKNOWN_REVISION
+				&& this.newestRevisions.getOrDefault(id, TargetListing.UNKNOWN_REVISION) > revision;
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -49,7 +49,7 @@
 	 * Held-back entries of ended incarnations from an older copy of the list, by target
 	 * id.
 	 */
-	private final Map<String, Listing> staleEntries = new HashMap<>();
+	private final Map<String, TargetListing> staleEntries = new HashMap<>();
 
 	/** Whether the next read of the whole list is that of an older copy. */
 	private boolean readingOlderCopy;
@@ -126,25 +126,25 @@
 	 * @param target the target
 	 */
 	public void put(ListedTarget target) {
-		put(new Listing(target, Listing.UNKNOWN_REVISION));
+		put(new TargetListing(target, TargetListing.UNKNOWN_REVISION));
 	}
 
 	/**
 	 * Apply a target's list entry.
 	 * @param listing the list entry and its revision
 	 */
-	public void put(Listing listing) {
+	public void put(TargetListing listing) {
 		this.staleEntries.remove(listing.target().id());
 		together(() -> apply(listing, List.copyOf(this.targets.values())));
 	}
 
-	private void apply(Listing listing, Collection<ListedTarget> known) {
+	private void apply(TargetListing listing, Collection<ListedTarget> known) {
 		if (this.revisions.recordIfInOrder(listing.target().id(), listing.revision())) {
 			ListedTarget target = withKnownStart(listing.target());
 			boolean isKnown = isKnownRun(target);
 			endFormerIncarnation(target);
 			if (!isKnown) {
-				endFormerAtAddress(new Listing(target, listing.revision()), known);
+				endFormerAtAddress(new TargetListing(target, listing.revision()), known);
 			}
 			apply(target);
 		}
@@ -159,7 +159,7 @@
 	// An address is assigned to another target only after its former one has ended,
 	// even if that one is still listed. Of two targets at one address the one listed
 	// there later is current, whichever is received first.
-	private void endFormerAtAddress(Listing listing, Collection<ListedTarget> known) {
+	private void endFormerAtAddress(TargetListing listing, Collection<ListedTarget> known) {
 		ListedTarget target = listing.target();
 		for (ListedTarget other : known) {
 			boolean isReplaced = other.address().equals(target.address()) && !other.id().equals(target.id());
@@ -244,15 +244,15 @@
 	 * @param all the entries of the list
 	 * @param now the current time in milliseconds
 	 */
-	public void replaceAll(Collection<Listing> all, long now) {
+	public void replaceAll(Collection<TargetListing> all, long now) {
 		together(() -> replace(all, now));
 	}
 
-	private void replace(Collection<Listing> all, long now) {
+	private void replace(Collection<TargetListing> all, long now) {
 		// The order in which two new targets were listed at one address is not known.
 		List<ListedTarget> known = List.copyOf(this.targets.values());
 		Set<String> listed = new HashSet<>();
-		for (Listing listing : all) {
+		for (TargetListing listing : all) {
 			listed.add(listing.target().id());
 			if (!holdIfStale(listing, now)) {
 				apply(listing, known);
@@ -269,7 +269,7 @@
 
 	// An older copy of the list may hold incarnations that have ended since. Live ones
 	// write their entries again, which arrives as a separate change.
-	private boolean holdIfStale(Listing listing, long now) {
+	private boolean holdIfStale(TargetListing listing, long now) {
 		String id = listing.target().id();
 		if (listing.equals(this.staleEntries.get(id))) {
 			return true;
@@ -284,7 +284,7 @@
 		return isStale;
 	}
 
-	private void releaseStale(Listing listing) {
+	private void releaseStale(TargetListing listing) {
 		if (this.staleEntries.remove(listing.target().id(), listing)) {
 			put(listing);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/Listing.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetListing.java
@@ -10,12 +10,12 @@
  * {@link #UNKNOWN_REVISION}; an entry of unknown revision counts as written on arrival
  * @since 0.3
  */
-public record Listing(ListedTarget target, long revision) {
+public record TargetListing(ListedTarget target, long revision) {
 
 	/** The revision of an entry for which none is known. */
 	public static final long UNKNOWN_REVISION = 0;
 
-	public Listing {
+	public TargetListing {
 		Objects.requireNonNull(target, "target must not be null");
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
@@ -181,8 +181,8 @@
 		assertThat(this.events).containsExactly("evacuated dc", "evacuated dc2", "taken back dc", "evacuated dc3");
 	}
 
-	private static List<Listing> listings(ListedTarget... targets) {
-		return Stream.of(targets).map((t) -> new Listing(t, Listing.UNKNOWN_REVISION)).toList();
+	private static List<TargetListing> listings(ListedTarget... targets) {
+		return Stream.of(targets).map((t) -> new TargetListing(t, TargetListing.UNKNOWN_REVISION)).toList();
 	}
 
 	private final class RecordingEvacuationListener implements EvacuationListener {
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
@@ -43,9 +43,9 @@
 
 	@Test
 	void theEntryOfANewIncarnationIsReportedBeforeTheFormerOneEnds() {
-		this.directory.put(new Listing(target(FIRST, false), 5));
+		this.directory.put(new TargetListing(target(FIRST, false), 5));
 		this.events.clear();
-		this.directory.put(new Listing(new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, false, OptionalLong.of(700),
+		this.directory.put(new TargetListing(new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, false, OptionalLong.of(700),
 				OptionalLong.of(SECOND)), 6));
 		assertThat(this.events.get(0)).isEqualTo("cold a/60000 700");
 	}
@@ -94,7 +94,7 @@
 	void anOutdatedReadDoesNotRestoreAFormerIncarnation() {
 		putListing(FIRST, false, 5);
 		putListing(SECOND, false, 6);
-		this.directory.replaceAll(List.of(new Listing(target(FIRST, false), 5)), 50_000);
+		this.directory.replaceAll(List.of(new TargetListing(target(FIRST, false), 5)), 50_000);
 		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
 	}
 
@@ -109,7 +109,7 @@
 	@Test
 	void anEntryWithoutARevisionCountsAsNewestOnArrival() {
 		putListing(FIRST, false, 6);
-		putListing(SECOND, false, Listing.UNKNOWN_REVISION);
+		putListing(SECOND, false, TargetListing.UNKNOWN_REVISION);
 		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
 		putListing(FIRST, false, 5);
 		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
@@ -120,7 +120,7 @@
 	@Test
 	void anEntryWithoutAStartTimeBelongsToTheKnownIncarnation() {
 		putListing(FIRST, false, 5);
-		this.directory.put(new Listing(target(FIRST, true).withStartMillis(OptionalLong.empty()), 6));
+		this.directory.put(new TargetListing(target(FIRST, true).withStartMillis(OptionalLong.empty()), 6));
 		assertThat(this.directory.takesWork("a")).isFalse();
 		assertThat(this.directory.isStaying(target(FIRST, true))).isFalse();
 		assertThat(this.directory.isFormerRun(target(FIRST, true))).isFalse();
@@ -152,8 +152,8 @@
 	void aNewIncarnationAtTheAddressOfAnotherTargetReplacesIt() {
 		putListing(FIRST, false, 5);
 		ListedTarget other = new ListedTarget("b", "s", "10.0.0.2", 80, "dc", 4, false);
-		this.directory.put(new Listing(other, 6));
-		this.directory.put(new Listing(new ListedTarget("a", "s", "10.0.0.2", 80, "dc", 4, false, OptionalLong.empty(),
+		this.directory.put(new TargetListing(other, 6));
+		this.directory.put(new TargetListing(new ListedTarget("a", "s", "10.0.0.2", 80, "dc", 4, false, OptionalLong.empty(),
 				OptionalLong.of(SECOND)), 7));
 		assertThat(this.directory.takesWork("b")).isFalse();
 		assertThat(this.directory.takesWork("a")).isTrue();
@@ -162,7 +162,7 @@
 	@Test
 	void aLateEntryDoesNotReplaceTheCurrentTargetAtItsAddress() {
 		putListing(FIRST, false, 9);
-		this.directory.put(new Listing(new ListedTarget("former", "s", "10.0.0.1", 80, "dc", 4, false), 5));
+		this.directory.put(new TargetListing(new ListedTarget("former", "s", "10.0.0.1", 80, "dc", 4, false), 5));
 		assertThat(this.directory.takesWork("a")).isTrue();
 		assertThat(this.directory.takesWork("former")).isFalse();
 		this.directory.remove("former", 8, 50_000);
@@ -171,7 +171,7 @@
 	}
 
 	private void putListing(long startMillis, boolean isLeaving, long revision) {
-		this.directory.put(new Listing(target(startMillis, isLeaving), revision));
+		this.directory.put(new TargetListing(target(startMillis, isLeaving), revision));
 	}
 
 	private static ListedTarget target(long startMillis, boolean isLeaving) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetRegistrations.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetRegistrations.java
@@ -11,8 +11,8 @@
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.directory.Evacuations;
 import dev.laneworks.core.directory.ListedTarget;
-import dev.laneworks.core.directory.Listing;
 import dev.laneworks.core.directory.TargetDirectory;
+import dev.laneworks.core.directory.TargetListing;
 import dev.laneworks.core.follow.StoreItem;
 import dev.laneworks.core.serving.ServingPlan;
 import io.vavr.control.Either;
@@ -43,7 +43,7 @@
 	/**
 	 * The targets of services that no plan names, by the keys of their registrations.
 	 */
-	private final Map<String, Listing> pending = new HashMap<>();
+	private final Map<String, TargetListing> pending = new HashMap<>();
 
 	private Optional<ServingPlan> plan = Optional.empty();
 
@@ -83,10 +83,10 @@
 	 */
 	void replaceAll(List<StoreItem> items, long now) {
 		forgetPending();
-		List<Listing> listed = new ArrayList<>();
+		List<TargetListing> listed = new ArrayList<>();
 		for (StoreItem item : items) {
 			long revision = item.revision();
-			readListing(item, revision).or(() -> withheld(item).map((t) -> new Listing(t, revision)))
+			readListing(item, revision).or(() -> withheld(item).map((t) -> new TargetListing(t, revision)))
 				.ifPresent(listed::add);
 		}
 		this.directory.replaceAll(listed, now);
@@ -123,7 +123,7 @@
 		}
 	}
 
-	private Optional<Listing> readListing(StoreItem item, long revision) {
+	private Optional<TargetListing> readListing(StoreItem item, long revision) {
 		Either<String, ListedTarget> read = this.source.target(item);
 		if (read.isLeft()) {
 			refuse(item.key(), read.getLeft());
@@ -131,12 +131,12 @@
 		}
 		ListedTarget target = read.get();
 		if (!isNamed(target) && !isKnownAs(target)) {
-			this.pending.put(item.key(), new Listing(target, revision));
+			this.pending.put(item.key(), new TargetListing(target, revision));
 			reportUnknownService(item.key(), target);
 			return Optional.empty();
 		}
 		accept(item.key(), target);
-		return Optional.of(new Listing(target, revision));
+		return Optional.of(new TargetListing(target, revision));
 	}
 
 	private void accept(String key, ListedTarget target) {
