--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/LeavingCause.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/DrainingCause.java
@@ -5,7 +5,7 @@
  *
  * @since 0.2
  */
-public enum LeavingCause {
+public enum DrainingCause {
 
 	/** The target's list entry reports it. */
 	SAID_SO,
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -174,7 +174,7 @@
 
 	private void markAddressTaken(ListedTarget former) {
 		if (this.draining.add(former.id())) {
-			notifyListener(() -> this.listener.leaving(former, LeavingCause.ADDRESS_TAKEN));
+			notifyListener(() -> this.listener.leaving(former, DrainingCause.ADDRESS_TAKEN));
 		}
 	}
 
@@ -187,7 +187,7 @@
 		}
 		notifyListener(() -> this.listener.listed(target));
 		this.expiryDeadlines.remove(target.id());
-		drop(former.get(), LeavingCause.STARTED_AGAIN);
+		drop(former.get(), DrainingCause.STARTED_AGAIN);
 	}
 
 	private void apply(ListedTarget target) {
@@ -196,7 +196,7 @@
 		boolean wasDraining = this.draining.contains(target.id());
 		if (target.draining() && !wasDraining) {
 			this.draining.add(target.id());
-			notifyListener(() -> this.listener.leaving(target, LeavingCause.SAID_SO));
+			notifyListener(() -> this.listener.leaving(target, DrainingCause.SAID_SO));
 		}
 		if (!target.draining() && before == null && !wasDraining) {
 			notifyListener(() -> this.listener.joined(target));
@@ -224,7 +224,7 @@
 			return;
 		}
 		this.expiryDeadlines.remove(id);
-		drop(target, LeavingCause.VANISHED);
+		drop(target, DrainingCause.VANISHED);
 	}
 
 	/**
@@ -305,7 +305,7 @@
 	 * @param incarnation the incarnation that rejected the request
 	 */
 	public void refusedWork(TargetIncarnation incarnation) {
-		markDraining(incarnation, LeavingCause.REFUSED);
+		markDraining(incarnation, DrainingCause.REFUSED);
 	}
 
 	/**
@@ -313,10 +313,10 @@
 	 * @param incarnation the incarnation that is draining
 	 */
 	public void saidLeaving(TargetIncarnation incarnation) {
-		markDraining(incarnation, LeavingCause.SAID_SO_WHEN_ASKED);
+		markDraining(incarnation, DrainingCause.SAID_SO_WHEN_ASKED);
 	}
 
-	private void markDraining(TargetIncarnation incarnation, LeavingCause cause) {
+	private void markDraining(TargetIncarnation incarnation, DrainingCause cause) {
 		find(incarnation.id()).filter((t) -> t.incarnation().equals(incarnation) && this.draining.add(incarnation.id()))
 			.ifPresent((t) -> notifyListener(() -> this.listener.leaving(t, cause)));
 	}
@@ -326,7 +326,7 @@
 			for (Map.Entry<String, Long> expired : List.copyOf(this.expiryDeadlines.entrySet())) {
 				if (now >= expired.getValue()) {
 					this.expiryDeadlines.remove(expired.getKey());
-					find(expired.getKey()).ifPresent((t) -> drop(t, LeavingCause.LAPSED));
+					find(expired.getKey()).ifPresent((t) -> drop(t, DrainingCause.LAPSED));
 				}
 			}
 		});
@@ -464,7 +464,7 @@
 		return this.targets.size();
 	}
 
-	private void drop(ListedTarget target, LeavingCause cause) {
+	private void drop(ListedTarget target, DrainingCause cause) {
 		this.targets.remove(target.id());
 		this.endedIncarnations.add(target);
 		if (!this.draining.remove(target.id())) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -8,7 +8,7 @@
 
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.directory.LeavingCause;
+import dev.laneworks.core.directory.DrainingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.mechanism.Mechanism;
@@ -439,7 +439,7 @@
 	 * @param cause the signal that announced it
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	public void leaving(ListedTarget target, LeavingCause cause, long now) {
+	public void leaving(ListedTarget target, DrainingCause cause, long now) {
 		this.poison.leaving(target, cause, now);
 		if (this.directory.isFormerRun(target)) {
 			return;
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -10,7 +10,7 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.directory.LeavingCause;
+import dev.laneworks.core.directory.DrainingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.directory.TargetIncarnation;
@@ -170,7 +170,7 @@
 	 * @param cause the reason that was observed
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void leaving(ListedTarget target, LeavingCause cause, long now) {
+	void leaving(ListedTarget target, DrainingCause cause, long now) {
 		switch (cause) {
 			case VANISHED, LAPSED, ADDRESS_TAKEN, STARTED_AGAIN ->
 				recordCrash(target, "the target list reports " + cause, now);
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
@@ -212,7 +212,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, LeavingCause cause) {
+		public void leaving(ListedTarget target, DrainingCause cause) {
 			TargetDirectoryTests.this.events.add("leaving " + target.id() + ' ' + cause);
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -15,9 +15,9 @@
 import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.backpressure.TargetRateLimits;
 import dev.laneworks.core.directory.DirectoryListener;
+import dev.laneworks.core.directory.DrainingCause;
 import dev.laneworks.core.directory.EvacuationListener;
 import dev.laneworks.core.directory.Evacuations;
-import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.directory.TargetIncarnation;
@@ -452,7 +452,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, LeavingCause cause) {
+		public void leaving(ListedTarget target, DrainingCause cause) {
 			DispatchHarness.this.dispatcher.leaving(target, cause, DispatchHarness.this.now);
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -12,9 +12,9 @@
 import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.backpressure.TargetRateLimits;
 import dev.laneworks.core.directory.DirectoryListener;
+import dev.laneworks.core.directory.DrainingCause;
 import dev.laneworks.core.directory.EvacuationListener;
 import dev.laneworks.core.directory.Evacuations;
-import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.directory.TargetIncarnation;
@@ -199,7 +199,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, LeavingCause cause) {
+		public void leaving(ListedTarget target, DrainingCause cause) {
 			// Ignored.
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
@@ -5,8 +5,8 @@
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.directory.DirectoryListener;
+import dev.laneworks.core.directory.DrainingCause;
 import dev.laneworks.core.directory.EvacuationListener;
-import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.dispatch.ColdTargets;
 import dev.laneworks.core.dispatch.Dispatcher;
@@ -73,7 +73,7 @@
 	}
 
 	@Override
-	public void leaving(ListedTarget target, LeavingCause cause) {
+	public void leaving(ListedTarget target, DrainingCause cause) {
 		record(target, "leaving: " + cause);
 		this.dispatcher.leaving(target, cause, this.loop.now());
 	}
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -17,8 +17,8 @@
 import java.util.stream.Collectors;
 
 import dev.laneworks.core.directory.DirectoryListener;
+import dev.laneworks.core.directory.DrainingCause;
 import dev.laneworks.core.directory.EvacuationListener;
-import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.follow.FollowSettings;
@@ -480,7 +480,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, LeavingCause cause) {
+		public void leaving(ListedTarget target, DrainingCause cause) {
 			this.takingWork.remove(target.id());
 		}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
@@ -12,9 +12,9 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.directory.DirectoryListener;
+import dev.laneworks.core.directory.DrainingCause;
 import dev.laneworks.core.directory.EvacuationListener;
 import dev.laneworks.core.directory.Evacuations;
-import dev.laneworks.core.directory.LeavingCause;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.follow.StoreCalls;
@@ -337,7 +337,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, LeavingCause cause) {
+		public void leaving(ListedTarget target, DrainingCause cause) {
 			PlanAndTargetsTests.this.membership.add("leaving " + target.id());
 		}
 
