--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/DirectoryListener.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/DirectoryListener.java
@@ -24,7 +24,7 @@
 	 * @param target the target
 	 * @param cause what the directory concluded it from
 	 */
-	void leaving(ListedTarget target, DrainingCause cause);
+	void draining(ListedTarget target, DrainingCause cause);
 
 	/**
 	 * Handle a draining target whose list entry was removed, or an incarnation that was
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -174,7 +174,7 @@
 
 	private void markAddressTaken(ListedTarget former) {
 		if (this.draining.add(former.id())) {
-			notifyListener(() -> this.listener.leaving(former, DrainingCause.ADDRESS_TAKEN));
+			notifyListener(() -> this.listener.draining(former, DrainingCause.ADDRESS_TAKEN));
 		}
 	}
 
@@ -196,7 +196,7 @@
 		boolean wasDraining = this.draining.contains(target.id());
 		if (target.draining() && !wasDraining) {
 			this.draining.add(target.id());
-			notifyListener(() -> this.listener.leaving(target, DrainingCause.SAID_SO));
+			notifyListener(() -> this.listener.draining(target, DrainingCause.SAID_SO));
 		}
 		if (!target.draining() && before == null && !wasDraining) {
 			notifyListener(() -> this.listener.joined(target));
@@ -318,7 +318,7 @@
 
 	private void markDraining(TargetIncarnation incarnation, DrainingCause cause) {
 		find(incarnation.id()).filter((t) -> t.incarnation().equals(incarnation) && this.draining.add(incarnation.id()))
-			.ifPresent((t) -> notifyListener(() -> this.listener.leaving(t, cause)));
+			.ifPresent((t) -> notifyListener(() -> this.listener.draining(t, cause)));
 	}
 
 	private void dropExpired(long now) {
@@ -468,7 +468,7 @@
 		this.targets.remove(target.id());
 		this.endedIncarnations.add(target);
 		if (!this.draining.remove(target.id())) {
-			notifyListener(() -> this.listener.leaving(target, cause));
+			notifyListener(() -> this.listener.draining(target, cause));
 		}
 		notifyListener(() -> this.listener.gone(target));
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
@@ -212,7 +212,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, DrainingCause cause) {
+		public void draining(ListedTarget target, DrainingCause cause) {
 			TargetDirectoryTests.this.events.add("leaving " + target.id() + ' ' + cause);
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
@@ -211,7 +211,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, DrainingCause cause) {
+		public void draining(ListedTarget target, DrainingCause cause) {
 			String known = TargetIncarnationTests.this.directory.find(target.id())
 				.map(TargetIncarnationTests::text)
 				.orElse("");
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -452,7 +452,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, DrainingCause cause) {
+		public void draining(ListedTarget target, DrainingCause cause) {
 			DispatchHarness.this.dispatcher.leaving(target, cause, DispatchHarness.this.now);
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -199,7 +199,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, DrainingCause cause) {
+		public void draining(ListedTarget target, DrainingCause cause) {
 			// Ignored.
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
@@ -73,7 +73,7 @@
 	}
 
 	@Override
-	public void leaving(ListedTarget target, DrainingCause cause) {
+	public void draining(ListedTarget target, DrainingCause cause) {
 		record(target, "leaving: " + cause);
 		this.dispatcher.leaving(target, cause, this.loop.now());
 	}
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -480,7 +480,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, DrainingCause cause) {
+		public void draining(ListedTarget target, DrainingCause cause) {
 			this.takingWork.remove(target.id());
 		}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
@@ -337,7 +337,7 @@
 		}
 
 		@Override
-		public void leaving(ListedTarget target, DrainingCause cause) {
+		public void draining(ListedTarget target, DrainingCause cause) {
 			PlanAndTargetsTests.this.membership.add("leaving " + target.id());
 		}
 
