--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -94,7 +94,7 @@
 	 * after it count as gone at once.
 	 * @param now the current time in milliseconds
 	 */
-	public void regained(long now) {
+	public void storeReachable(long now) {
 		if (now >= this.recoveryEndsAt) {
 			this.recoveryEndsAt = now + RECOVERY_MILLIS;
 		}
@@ -106,7 +106,7 @@
 	 * in the same batch.
 	 * @param changes makes the changes to this directory
 	 */
-	public void together(Runnable changes) {
+	public void batch(Runnable changes) {
 		this.batchDepth++;
 		try {
 			changes.run();
@@ -135,13 +135,13 @@
 	 */
 	public void put(TargetListing listing) {
 		this.staleEntries.remove(listing.target().id());
-		together(() -> apply(listing, List.copyOf(this.targets.values())));
+		batch(() -> apply(listing, List.copyOf(this.targets.values())));
 	}
 
 	private void apply(TargetListing listing, Collection<ListedTarget> known) {
 		if (this.revisions.recordIfInOrder(listing.target().id(), listing.revision())) {
 			ListedTarget target = withKnownStart(listing.target());
-			boolean isKnown = isKnownRun(target);
+			boolean isKnown = isCurrentIncarnation(target);
 			endFormerIncarnation(target);
 			if (!isKnown) {
 				endFormerAtAddress(new TargetListing(target, listing.revision()), known);
@@ -245,7 +245,7 @@
 	 * @param now the current time in milliseconds
 	 */
 	public void replaceAll(Collection<TargetListing> all, long now) {
-		together(() -> replace(all, now));
+		batch(() -> replace(all, now));
 	}
 
 	private void replace(Collection<TargetListing> all, long now) {
@@ -295,16 +295,16 @@
 	 * lacks count as expired, and its ended incarnations are not restored.
 	 * @param now the current time in milliseconds
 	 */
-	public void historyReplaced(long now) {
+	public void storeRestored(long now) {
 		this.readingOlderCopy = true;
-		regained(now);
+		storeReachable(now);
 	}
 
 	/**
 	 * Handle a target's rejection of a request because it accepts no new ones.
 	 * @param incarnation the incarnation that rejected the request
 	 */
-	public void refusedWork(TargetIncarnation incarnation) {
+	public void requestRejected(TargetIncarnation incarnation) {
 		markDraining(incarnation, DrainingCause.REFUSED);
 	}
 
@@ -312,7 +312,7 @@
 	 * Handle a target's report that it is draining, made to this process or to another.
 	 * @param incarnation the incarnation that is draining
 	 */
-	public void saidLeaving(TargetIncarnation incarnation) {
+	public void drainingReported(TargetIncarnation incarnation) {
 		markDraining(incarnation, DrainingCause.SAID_SO_WHEN_ASKED);
 	}
 
@@ -322,7 +322,7 @@
 	}
 
 	private void dropExpired(long now) {
-		together(() -> {
+		batch(() -> {
 			for (Map.Entry<String, Long> expired : List.copyOf(this.expiryDeadlines.entrySet())) {
 				if (now >= expired.getValue()) {
 					this.expiryDeadlines.remove(expired.getKey());
@@ -336,7 +336,7 @@
 	 * Return the number of targets whose entries expired and may still be written again.
 	 * @return the number of targets
 	 */
-	public int lapsed() {
+	public int expiredCount() {
 		return this.expiryDeadlines.size();
 	}
 
@@ -346,7 +346,7 @@
 	 * @return the targets, without evacuated and withheld ones
 	 */
 	public List<ListedTarget> serving(String service) {
-		return staying(service).stream().filter((t) -> !this.evacuations.holdsFor(t)).toList();
+		return available(service).stream().filter((t) -> !this.evacuations.holdsFor(t)).toList();
 	}
 
 	/**
@@ -354,10 +354,10 @@
 	 * @param service the service's name
 	 * @return the targets, including evacuated and withheld ones
 	 */
-	public List<ListedTarget> staying(String service) {
+	public List<ListedTarget> available(String service) {
 		List<ListedTarget> found = new ArrayList<>();
 		for (ListedTarget target : this.targets.values()) {
-			if (target.service().equals(service) && isStaying(target.id())) {
+			if (target.service().equals(service) && isAvailable(target.id())) {
 				found.add(target);
 			}
 		}
@@ -369,8 +369,8 @@
 	 * @param id the target's id
 	 * @return {@code true} if it is neither draining nor evacuated nor withheld
 	 */
-	public boolean takesWork(String id) {
-		return isStaying(id) && !this.evacuations.holdsFor(this.targets.get(id));
+	public boolean acceptsRequests(String id) {
+		return isAvailable(id) && !this.evacuations.holdsFor(this.targets.get(id));
 	}
 
 	/**
@@ -379,7 +379,7 @@
 	 * @param id the target's id
 	 * @return {@code true} also for an evacuated target, which accepts no new requests
 	 */
-	public boolean isStaying(String id) {
+	public boolean isAvailable(String id) {
 		return this.targets.containsKey(id) && !this.draining.contains(id);
 	}
 
@@ -389,8 +389,8 @@
 	 * @param target the target
 	 * @return {@code true} if requests may be sent to it
 	 */
-	public boolean takesWork(ListedTarget target) {
-		return isKnownRun(target) && takesWork(target.id());
+	public boolean acceptsRequests(ListedTarget target) {
+		return isCurrentIncarnation(target) && acceptsRequests(target.id());
 	}
 
 	/**
@@ -398,8 +398,8 @@
 	 * @param target the target
 	 * @return {@code true} if it continues the requests that it executes
 	 */
-	public boolean isStaying(ListedTarget target) {
-		return isKnownRun(target) && isStaying(target.id());
+	public boolean isAvailable(ListedTarget target) {
+		return isCurrentIncarnation(target) && isAvailable(target.id());
 	}
 
 	/**
@@ -407,7 +407,7 @@
 	 * @param target the target
 	 * @return {@code false} if it is gone or has been replaced
 	 */
-	public boolean isKnownRun(ListedTarget target) {
+	public boolean isCurrentIncarnation(ListedTarget target) {
 		return find(target.id()).filter((k) -> k.isSameIncarnation(target)).isPresent();
 	}
 
@@ -416,7 +416,7 @@
 	 * @param incarnation the incarnation
 	 * @return {@code false} if it is gone, not yet listed or has been replaced
 	 */
-	public boolean isKnownRun(TargetIncarnation incarnation) {
+	public boolean isCurrentIncarnation(TargetIncarnation incarnation) {
 		return find(incarnation.id()).filter((k) -> k.incarnation().equals(incarnation)).isPresent();
 	}
 
@@ -426,7 +426,7 @@
 	 * @param target the target
 	 * @return {@code true} if another incarnation is known
 	 */
-	public boolean isFormerRun(ListedTarget target) {
+	public boolean isFormerIncarnation(ListedTarget target) {
 		return find(target.id()).filter((k) -> !k.isSameIncarnation(target)).isPresent();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -98,7 +98,7 @@
 		ListedTarget target = attempt.target();
 		call.recordNotRun();
 		if (head.isMisdirected()) {
-			this.directory.refusedWork(target.incarnation());
+			this.directory.requestRejected(target.incarnation());
 		}
 		else {
 			this.beliefs.of(target).full(now + this.settings.comeBackMillis());
@@ -141,7 +141,7 @@
 	 */
 	void handleFailure(DirectCall call, Attempt attempt, String cause, long now) {
 		ListedTarget target = attempt.target();
-		if (this.directory.isStaying(target)) {
+		if (this.directory.isAvailable(target)) {
 			recordFailure(target, cause, now);
 		}
 		if (!attempt.isAnswering()) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -214,7 +214,7 @@
 		}
 		DirectCall call = this.calls.get(number);
 		ListedTarget target = found.get().target();
-		if (this.directory.isStaying(target)) {
+		if (this.directory.isAvailable(target)) {
 			this.beliefs.of(target).quality().recordUnreachable(now);
 			if (fault == ConnectFault.REFUSED) {
 				this.beliefs.refused(target);
@@ -246,7 +246,7 @@
 		ListedTarget target = found.get().target();
 		head.load().ifPresent((l) -> this.beliefs.of(target).told(l, now));
 		head.coldMillis().ifPresent((c) -> this.eligibility.recordCold(target, c, now));
-		if (head.speaksForTarget(this.calls.get(number).request().id()) && this.directory.isKnownRun(target)) {
+		if (head.speaksForTarget(this.calls.get(number).request().id()) && this.directory.isCurrentIncarnation(target)) {
 			this.eligibility.told(target, head.needs(), found.get().sentAt(), now);
 		}
 		return head.isSuccess() && head.events() && head.answers(this.calls.get(number).request().id());
@@ -441,7 +441,7 @@
 	 */
 	public void leaving(ListedTarget target, DrainingCause cause, long now) {
 		this.poison.leaving(target, cause, now);
-		if (this.directory.isFormerRun(target)) {
+		if (this.directory.isFormerIncarnation(target)) {
 			return;
 		}
 		this.standbys.leaving(target, now);
@@ -461,7 +461,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void gone(ListedTarget target, long now) {
-		if (this.directory.isFormerRun(target)) {
+		if (this.directory.isFormerIncarnation(target)) {
 			failAfterRestart(target, now);
 		}
 		this.poison.gone(target, now);
@@ -521,7 +521,7 @@
 		// The request may have started after the reclaim notice of its engine, and only a
 		// generation that executes can be moved. The first event may be one that the
 		// caller has already.
-		if (!this.directory.isStaying(attempt.target())) {
+		if (!this.directory.isAvailable(attempt.target())) {
 			this.continuation.startCopy(call, now);
 		}
 	}
@@ -578,7 +578,7 @@
 
 		@Override
 		public boolean isOver(ListedTarget target) {
-			return Dispatcher.this.directory.isFormerRun(target);
+			return Dispatcher.this.directory.isFormerIncarnation(target);
 		}
 
 		@Override
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -96,7 +96,7 @@
 	 * @return {@code true} if work that is not there yet may be sent
 	 */
 	boolean acceptsNew(ListedTarget target) {
-		return this.directory.takesWork(target) && !this.backpressure.isDraining(target);
+		return this.directory.acceptsRequests(target) && !this.backpressure.isDraining(target);
 	}
 
 	/**
@@ -208,7 +208,7 @@
 	 * @return the reason and, if known, the retry delay
 	 */
 	Shortage shortage(Scope scope, long now) {
-		List<ListedTarget> staying = this.directory.staying(scope.service())
+		List<ListedTarget> staying = this.directory.available(scope.service())
 			.stream()
 			.filter((t) -> !this.backpressure.isDraining(t))
 			.toList();
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -134,7 +134,7 @@
 	 */
 	void brokeOff(DirectCall call, Attempt attempt, long now) {
 		ListedTarget target = attempt.target();
-		boolean wasExpectedToStay = this.directory.isStaying(target) || this.directory.isFormerRun(target);
+		boolean wasExpectedToStay = this.directory.isAvailable(target) || this.directory.isFormerIncarnation(target);
 		if (!this.enabled || call.isCleared() || !wasExpectedToStay || this.announcedShutdown.contains(target.incarnation())
 				|| this.announcedDraining.test(target)) {
 			return;
@@ -188,7 +188,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void gone(ListedTarget target, long now) {
-		if (this.directory.isFormerRun(target)) {
+		if (this.directory.isFormerIncarnation(target)) {
 			recordCrash(target, "another incarnation is listed", now);
 		}
 		this.announcedShutdown.remove(target.incarnation());
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -186,7 +186,7 @@
 	}
 
 	private void refresh(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
-		if (call.attempt().orElse(null) != attempt || !this.directory.isStaying(attempt.target())) {
+		if (call.attempt().orElse(null) != attempt || !this.directory.isAvailable(attempt.target())) {
 			return;
 		}
 		boolean hasLiveCopy = attempt.backup().filter((b) -> this.eligibility.isSound(b, now)).isPresent();
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
@@ -26,9 +26,9 @@
 	@Test
 	void reportsATargetThatStartsDraining() {
 		this.directory.put(target("a", false));
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		this.directory.put(target("a", true));
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 		assertThat(this.directory.serving("s")).isEmpty();
 		this.directory.remove("a", 0);
 		assertThat(this.events).containsExactly("joined a", "leaving a SAID_SO", "gone a").inOrder();
@@ -38,7 +38,7 @@
 	void aLateEntryDoesNotEndTheDrainingOfATarget() {
 		this.directory.put(target("a", true));
 		this.directory.put(target("a", false));
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 	}
 
 	@Test
@@ -52,24 +52,24 @@
 	void anEntryThatExpiredDuringAnOutageMayReturn() {
 		this.directory.put(target("a", false));
 		this.directory.put(target("b", false));
-		this.directory.regained(1_000);
+		this.directory.storeReachable(1_000);
 		this.directory.remove("a", 1_100);
 		this.directory.remove("b", 1_100);
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		this.directory.put(target("a", false));
-		assertThat(this.directory.lapsed()).isEqualTo(1);
+		assertThat(this.directory.expiredCount()).isEqualTo(1);
 		this.timers.run(this.timers.nextDue());
-		assertThat(this.directory.takesWork("a")).isTrue();
-		assertThat(this.directory.takesWork("b")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("b")).isFalse();
 		assertThat(this.events).containsExactly("joined a", "joined b", "leaving b LAPSED", "gone b").inOrder();
-		assertThat(this.directory.lapsed()).isEqualTo(0);
+		assertThat(this.directory.expiredCount()).isEqualTo(0);
 	}
 
 	@Test
 	void aSecondReportOfARecoveryDoesNotExtendItsWindow() {
 		this.directory.put(target("a", false));
-		this.directory.regained(1_000);
-		this.directory.regained(1_700);
+		this.directory.storeReachable(1_000);
+		this.directory.storeReachable(1_700);
 		this.directory.remove("a", 2_801);
 		assertThat(this.events).containsExactly("joined a", "leaving a VANISHED", "gone a").inOrder();
 	}
@@ -78,11 +78,11 @@
 	void aTargetListedAtTheAddressOfAnotherReplacesIt() {
 		this.directory.put(target("a", false));
 		this.directory.put(at("10.0.0.1", "b"));
-		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.directory.takesWork("b")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("b")).isTrue();
 		this.directory.put(target("a", false));
-		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.directory.takesWork("b")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("b")).isTrue();
 		assertThat(this.events).containsExactly("joined a", "leaving a ADDRESS_TAKEN", "joined b").inOrder();
 	}
 
@@ -96,10 +96,10 @@
 		this.directory.remove("a", 10_000);
 		this.directory.put(at("10.0.0.1", "b"));
 		this.directory.put(target("a", false));
-		assertThat(this.directory.takesWork("b")).isTrue();
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("b")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 		this.directory.remove("a", 20_000);
-		assertThat(this.directory.takesWork("b")).isTrue();
+		assertThat(this.directory.acceptsRequests("b")).isTrue();
 	}
 
 	@Test
@@ -110,16 +110,16 @@
 		this.directory.remove("b", 20_000);
 		this.directory.put(target("a", false));
 		this.directory.put(at("10.0.0.1", "b"));
-		assertThat(this.directory.takesWork("b")).isTrue();
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("b")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 	}
 
 	@Test
 	void aNewReadReplacesOnlyTheTargetKnownAtTheAddressBefore() {
 		this.directory.put(target("b", false));
 		this.directory.replaceAll(listings(at("10.0.0.2", "a"), target("b", false)), 10);
-		assertThat(this.directory.takesWork("a")).isTrue();
-		assertThat(this.directory.takesWork("b")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("b")).isFalse();
 	}
 
 	@Test
@@ -133,9 +133,9 @@
 	@Test
 	void reportsOnceThatATargetRejectedARequest() {
 		this.directory.put(target("a", false));
-		this.directory.refusedWork(TargetIncarnation.of("a"));
-		this.directory.refusedWork(TargetIncarnation.of("a"));
-		assertThat(this.directory.takesWork("a")).isFalse();
+		this.directory.requestRejected(TargetIncarnation.of("a"));
+		this.directory.requestRejected(TargetIncarnation.of("a"));
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 		assertThat(this.events).containsExactly("joined a", "leaving a REFUSED").inOrder();
 	}
 
@@ -151,14 +151,14 @@
 	void targetsOfAnEvacuatedDataCentreAcceptNoRequestsAndStay() {
 		this.directory.put(target("a", false));
 		this.evacuations.begin("dc");
-		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.directory.isStaying("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
+		assertThat(this.directory.isAvailable("a")).isTrue();
 		assertThat(this.directory.serving("s")).isEmpty();
 		this.directory.put(target("b", false));
-		assertThat(this.directory.takesWork("b")).isFalse();
-		assertThat(this.directory.staying("s")).hasSize(2);
+		assertThat(this.directory.acceptsRequests("b")).isFalse();
+		assertThat(this.directory.available("s")).hasSize(2);
 		this.evacuations.end("dc");
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		assertThat(this.events).containsExactly("joined a", "evacuated dc", "joined b", "taken back dc").inOrder();
 	}
 
@@ -168,7 +168,7 @@
 		this.evacuations.begin("dc");
 		this.directory.put(target("a", true));
 		this.evacuations.end("dc");
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 		assertThat(this.events).contains("leaving a SAID_SO");
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
@@ -34,11 +34,11 @@
 		assertThat(this.events)
 			.containsExactly("joined a/0", "leaving a/0 STARTED_AGAIN, known a/60000", "gone a/0", "joined a/60000")
 			.inOrder();
-		assertThat(this.directory.takesWork(target(FIRST, false))).isFalse();
-		assertThat(this.directory.isStaying(target(FIRST, false))).isFalse();
-		assertThat(this.directory.isFormerRun(target(FIRST, false))).isTrue();
-		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
-		assertThat(this.directory.isFormerRun(target(SECOND, false))).isFalse();
+		assertThat(this.directory.acceptsRequests(target(FIRST, false))).isFalse();
+		assertThat(this.directory.isAvailable(target(FIRST, false))).isFalse();
+		assertThat(this.directory.isFormerIncarnation(target(FIRST, false))).isTrue();
+		assertThat(this.directory.acceptsRequests(target(SECOND, false))).isTrue();
+		assertThat(this.directory.isFormerIncarnation(target(SECOND, false))).isFalse();
 	}
 
 	@Test
@@ -55,7 +55,7 @@
 		putListing(FIRST, false, 5);
 		putListing(FIRST, true, 6);
 		putListing(SECOND, false, 7);
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		assertThat(this.events)
 			.containsExactly("joined a/0", "leaving a/0 SAID_SO, known a/0", "gone a/0", "joined a/60000")
 			.inOrder();
@@ -66,7 +66,7 @@
 		putListing(FIRST, true, 5);
 		putListing(SECOND, false, 6);
 		putListing(SECOND, true, 7);
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 		assertThat(this.events).contains("leaving a/60000 SAID_SO, known a/60000");
 	}
 
@@ -76,7 +76,7 @@
 		putListing(FIRST, false, 5);
 		putListing(FIRST, true, 6);
 		this.directory.remove("a", 7, 50_000);
-		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
+		assertThat(this.directory.acceptsRequests(target(SECOND, false))).isTrue();
 		assertThat(this.events).containsExactly("joined a/60000");
 	}
 
@@ -95,35 +95,35 @@
 		putListing(FIRST, false, 5);
 		putListing(SECOND, false, 6);
 		this.directory.replaceAll(List.of(new TargetListing(target(FIRST, false), 5)), 50_000);
-		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
+		assertThat(this.directory.acceptsRequests(target(SECOND, false))).isTrue();
 	}
 
 	@Test
 	void aNewerIncarnationMayHaveAnEarlierStartTime() {
 		putListing(SECOND, false, 5);
 		putListing(FIRST, false, 6);
-		assertThat(this.directory.takesWork(target(FIRST, false))).isTrue();
-		assertThat(this.directory.takesWork(target(SECOND, false))).isFalse();
+		assertThat(this.directory.acceptsRequests(target(FIRST, false))).isTrue();
+		assertThat(this.directory.acceptsRequests(target(SECOND, false))).isFalse();
 	}
 
 	@Test
 	void anEntryWithoutARevisionCountsAsNewestOnArrival() {
 		putListing(FIRST, false, 6);
 		putListing(SECOND, false, TargetListing.UNKNOWN_REVISION);
-		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
+		assertThat(this.directory.acceptsRequests(target(SECOND, false))).isTrue();
 		putListing(FIRST, false, 5);
-		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
+		assertThat(this.directory.acceptsRequests(target(SECOND, false))).isTrue();
 		putListing(FIRST, false, 7);
-		assertThat(this.directory.takesWork(target(FIRST, false))).isTrue();
+		assertThat(this.directory.acceptsRequests(target(FIRST, false))).isTrue();
 	}
 
 	@Test
 	void anEntryWithoutAStartTimeBelongsToTheKnownIncarnation() {
 		putListing(FIRST, false, 5);
 		this.directory.put(new TargetListing(target(FIRST, true).withStartMillis(OptionalLong.empty()), 6));
-		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.directory.isStaying(target(FIRST, true))).isFalse();
-		assertThat(this.directory.isFormerRun(target(FIRST, true))).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
+		assertThat(this.directory.isAvailable(target(FIRST, true))).isFalse();
+		assertThat(this.directory.isFormerIncarnation(target(FIRST, true))).isFalse();
 		assertThat(this.events).containsExactly("joined a/0", "leaving a/0 SAID_SO, known a/0").inOrder();
 	}
 
@@ -131,21 +131,21 @@
 	void reportsOfAFormerIncarnationDoNotAffectTheNewOne() {
 		putListing(FIRST, false, 5);
 		putListing(SECOND, false, 6);
-		this.directory.refusedWork(TargetIncarnation.of("a", FIRST));
-		this.directory.saidLeaving(TargetIncarnation.of("a", FIRST));
-		assertThat(this.directory.takesWork("a")).isTrue();
-		this.directory.saidLeaving(TargetIncarnation.of("a", SECOND));
-		assertThat(this.directory.takesWork("a")).isFalse();
+		this.directory.requestRejected(TargetIncarnation.of("a", FIRST));
+		this.directory.drainingReported(TargetIncarnation.of("a", FIRST));
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
+		this.directory.drainingReported(TargetIncarnation.of("a", SECOND));
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 	}
 
 	@Test
 	void theExpiryOfAFormerEntryDoesNotAffectTheNewIncarnation() {
 		putListing(FIRST, false, 5);
-		this.directory.regained(1_000);
+		this.directory.storeReachable(1_000);
 		this.directory.remove("a", 6, 1_100);
 		putListing(SECOND, false, 7);
 		this.timers.run(this.timers.nextDue());
-		assertThat(this.directory.takesWork(target(SECOND, false))).isTrue();
+		assertThat(this.directory.acceptsRequests(target(SECOND, false))).isTrue();
 	}
 
 	@Test
@@ -155,18 +155,18 @@
 		this.directory.put(new TargetListing(other, 6));
 		this.directory.put(new TargetListing(new ListedTarget("a", "s", "10.0.0.2", 80, "dc", 4, false, OptionalLong.empty(),
 				OptionalLong.of(SECOND)), 7));
-		assertThat(this.directory.takesWork("b")).isFalse();
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("b")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 	}
 
 	@Test
 	void aLateEntryDoesNotReplaceTheCurrentTargetAtItsAddress() {
 		putListing(FIRST, false, 9);
 		this.directory.put(new TargetListing(new ListedTarget("former", "s", "10.0.0.1", 80, "dc", 4, false), 5));
-		assertThat(this.directory.takesWork("a")).isTrue();
-		assertThat(this.directory.takesWork("former")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("former")).isFalse();
 		this.directory.remove("former", 8, 50_000);
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		assertThat(this.directory.size()).isEqualTo(1);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherTests.java
@@ -230,7 +230,7 @@
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		Sent first = this.harness.arrive();
 		this.harness.answer(first, 421, false);
-		assertThat(this.harness.directory.takesWork(first.target().id())).isFalse();
+		assertThat(this.harness.directory.acceptsRequests(first.target().id())).isFalse();
 		this.harness.answer(this.harness.arrive(), 200, false);
 		assertThat(this.harness.answers(1)).containsExactly("delivered 2");
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
@@ -147,7 +147,7 @@
 		this.harness.event(first, 0);
 		this.harness.join(DispatchHarness.ENGINES, "c");
 		ListedTarget copy = first.target().equals(a) ? b : a;
-		this.harness.directory.together(() -> {
+		this.harness.directory.batch(() -> {
 			this.harness.leave(first.target());
 			this.harness.directory.remove(copy.id(), this.harness.now);
 		});
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -200,7 +200,7 @@
 		this.directory = this.store.directory();
 		Eligibility eligibility = new Eligibility(this.directory, this.beliefs, this.cold, this.backpressure,
 				settings.regions());
-		this.peers.shareNeeds(this.backpressure, this.directory::isKnownRun);
+		this.peers.shareNeeds(this.backpressure, this.directory::isCurrentIncarnation);
 		TargetChooser chooser = new TargetChooser(eligibility, this.beliefs, settings.dataCentre(), random,
 				settings.mechanisms());
 		this.dispatcher = new Dispatcher(DispatchSettings.defaults(settings.mechanisms()), this.directory, this.beliefs,
@@ -458,7 +458,7 @@
 		this.metrics.register("laneworks_open_calls", (Gauge<Integer>) this.dispatcher::openCalls);
 		this.metrics.register("laneworks_targets", (Gauge<Integer>) this.directory::size);
 		this.metrics.register("laneworks_suspended_millis", (Gauge<Long>) MonotonicClock::suspendedMillis);
-		this.metrics.register("laneworks_targets_lapsed", (Gauge<Integer>) this.directory::lapsed);
+		this.metrics.register("laneworks_targets_lapsed", (Gauge<Integer>) this.directory::expiredCount);
 		this.metrics.register("laneworks_targets_doubted", (Gauge<Long>) () -> this.gauges.suspectedTargets());
 		this.metrics.register("laneworks_targets_limited", (Gauge<Integer>) () -> this.gauges.rateLimitedTargets());
 		this.metrics.register("laneworks_store_behind_millis", (Gauge<Long>) () -> this.gauges.storeBehindMillis());
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
@@ -40,7 +40,7 @@
 		this.audit = audit;
 		this.inquiry = new LeavingInquiry(store.follower()::isSilent, (e) -> peers.asksIn(e.dataCentre()),
 				this::engines, this, loop.timers());
-		peers.onDraining(store.directory()::saidLeaving);
+		peers.onDraining(store.directory()::drainingReported);
 	}
 
 	void start(long now) {
@@ -49,7 +49,7 @@
 
 	private List<ListedTarget> engines() {
 		TargetDirectory directory = this.store.directory();
-		return directory.all().stream().filter((t) -> directory.isStaying(t.id()) && isEngine(t)).toList();
+		return directory.all().stream().filter((t) -> directory.isAvailable(t.id()) && isEngine(t)).toList();
 	}
 
 	private boolean isEngine(ListedTarget target) {
@@ -73,7 +73,7 @@
 		this.audit.record(AuditEvent.of(AuditKind.MEMBERSHIP, engine.id(), engine.id(),
 				"reports that it is leaving in " + answer.leavesMillis().orElse(0) + " ms"));
 		this.beliefs.saidLeaving(engine);
-		this.store.directory().saidLeaving(engine.incarnation());
+		this.store.directory().drainingReported(engine.incarnation());
 	}
 
 	@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlanAndTargets.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlanAndTargets.java
@@ -125,7 +125,7 @@
 
 	@Override
 	public void itemsChanged(List<StoreChange> changes, long now) {
-		this.directory.together(() -> changes.forEach((c) -> apply(c, now)));
+		this.directory.batch(() -> changes.forEach((c) -> apply(c, now)));
 	}
 
 	private void apply(StoreChange change, long now) {
@@ -189,7 +189,7 @@
 		this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_SERVICE, "store", "",
 				"restored from an older backup: revision " + StorePosition.of(restoredRevision)
 						+ ", previously known up to revision " + StorePosition.of(knownRevision)));
-		this.directory.historyReplaced(now);
+		this.directory.storeRestored(now);
 		this.retainEvacuationsUntil = now + EVACUATION_RETENTION_MILLIS;
 		this.timers.schedule(this.retainEvacuationsUntil, this::endUnlistedEvacuations);
 	}
@@ -225,7 +225,7 @@
 
 	@Override
 	public void recoveryReported(long now) {
-		this.directory.regained(now);
+		this.directory.storeReachable(now);
 		this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_SERVICE, "store", "",
 				"reachable again, as other entries report"));
 	}
@@ -233,7 +233,7 @@
 	@Override
 	public void storeReachable(long awayMillis, boolean mayHaveBeenAway, long now) {
 		if (mayHaveBeenAway) {
-			this.directory.regained(now);
+			this.directory.storeReachable(now);
 		}
 		this.audit.record(AuditEvent
 			.of(AuditKind.CONFIGURATION_SERVICE, "store", "", "reachable again after " + awayMillis + " ms"
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetRegistrations.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetRegistrations.java
@@ -59,7 +59,7 @@
 	// Apply a new active plan.
 	void use(ServingPlan activePlan) {
 		this.plan = Optional.of(activePlan);
-		this.directory.together(() -> Map.copyOf(this.pending).forEach((key, listing) -> {
+		this.directory.batch(() -> Map.copyOf(this.pending).forEach((key, listing) -> {
 			if (isNamed(listing.target())) {
 				this.pending.remove(key);
 				accept(key, listing.target());
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipTests.java
@@ -186,10 +186,10 @@
 		simulation.entries.get(0).rejectedByStore = true;
 		simulation.evacuate("dc");
 		simulation.advance(1_000);
-		simulation.entries.forEach((e) -> assertThat(e.store.directory().takesWork("a")).isFalse());
+		simulation.entries.forEach((e) -> assertThat(e.store.directory().acceptsRequests("a")).isFalse());
 		simulation.endEvacuation("dc");
 		simulation.advance(1_000);
-		simulation.entries.forEach((e) -> assertThat(e.store.directory().takesWork("a")).isTrue());
+		simulation.entries.forEach((e) -> assertThat(e.store.directory().acceptsRequests("a")).isTrue());
 	}
 
 	@Test
@@ -203,7 +203,7 @@
 		simulation.discardHistory();
 		simulation.storeUp();
 		simulation.advance(3_000);
-		simulation.entries.forEach((e) -> assertThat(e.store.directory().takesWork("a")).isFalse());
+		simulation.entries.forEach((e) -> assertThat(e.store.directory().acceptsRequests("a")).isFalse());
 	}
 
 	/** Seeded sequence of events. */
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MissedStoreUpdateTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MissedStoreUpdateTests.java
@@ -69,7 +69,7 @@
 			simulation.unlist("t1");
 			simulation.advance(CATCH_UP_MILLIS);
 			assertTakesNoWork(seed, isolated);
-			assertWithMessage("seed %s", seed).that(isolated.store.directory().takesWork("t1")).isFalse();
+			assertWithMessage("seed %s", seed).that(isolated.store.directory().acceptsRequests("t1")).isFalse();
 		});
 	}
 
@@ -177,7 +177,7 @@
 	}
 
 	private static void assertTakesNoWork(long seed, MembershipSimulation.Entry entry) {
-		assertWithMessage("seed %s, entry %s", seed, entry.name).that(entry.store.directory().takesWork("t0"))
+		assertWithMessage("seed %s, entry %s", seed, entry.name).that(entry.store.directory().acceptsRequests("t0"))
 			.isFalse();
 	}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
@@ -86,14 +86,14 @@
 	void keepsATargetWithoutNewRequestsWhileItsRegistrationIsUnreadable() {
 		this.published.itemsRead(List.of(plan("1 s"), entry("a", "s 10.0.0.1")), 0);
 		changed(entry("a", "?"));
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 		assertThat(this.directory.serving("s")).isEmpty();
-		assertThat(this.directory.isStaying("a")).isTrue();
+		assertThat(this.directory.isAvailable("a")).isTrue();
 		this.published.itemsRead(List.of(plan("1 s"), entry("a", "?")), 1);
-		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.directory.isStaying("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
+		assertThat(this.directory.isAvailable("a")).isTrue();
 		changed(entry("a", "s 10.0.0.1"));
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		assertThat(this.membership).containsExactly("joined a");
 	}
 
@@ -101,9 +101,9 @@
 	void fullReadReadmitsATargetWhoseRegistrationIsReadableAgain() {
 		this.published.itemsRead(List.of(plan("1 s"), entry("a", "s 10.0.0.1")), 0);
 		this.published.itemsRead(List.of(plan("1 s"), entry("a", "?")), 1);
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 		this.published.itemsRead(List.of(plan("1 s"), entry("a", "s 10.0.0.1")), 2);
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		assertThat(this.membership).containsExactly("joined a");
 	}
 
@@ -114,7 +114,7 @@
 		gone("servers/a");
 		assertThat(this.membership).containsExactly("joined a", "leaving a", "gone a").inOrder();
 		changed(entry("a", "s 10.0.0.1"));
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 	}
 
 	@Test
@@ -123,25 +123,25 @@
 		changed(entry("a", "?"));
 		this.published.storeReachable(5, true, 10);
 		gone("servers/a");
-		assertThat(this.directory.isStaying("a")).isTrue();
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.isAvailable("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 		this.published.itemsRead(List.of(plan("1 s")), 20);
-		assertThat(this.directory.takesWork("a")).isFalse();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
 	}
 
 	@Test
 	void holdsATargetUntilAPlanNamesItsService() {
 		this.published.itemsRead(List.of(plan("1 s"), entry("a", "s 10.0.0.1"), entry("b", "t 10.0.0.2")), 0);
 		changed(entry("c", "t 10.0.0.1"));
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		assertThat(this.directory.size()).isEqualTo(1);
 		assertThat(refused()).containsExactly("servers/b", "servers/c").inOrder();
 		gone("servers/c");
 		changed(plan("2 s t"));
 		assertThat(this.directory.serving("t").stream().map(ListedTarget::id)).containsExactly("b");
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		changed(plan("3 s"), entry("b", "t 10.0.0.2 leaving"));
-		assertThat(this.directory.isStaying("b")).isFalse();
+		assertThat(this.directory.isAvailable("b")).isFalse();
 		assertThat(this.membership).containsExactly("joined a", "joined b", "leaving b").inOrder();
 	}
 
@@ -164,8 +164,8 @@
 	void sendsNothingNewToATargetThatMovesToAnUnknownService() {
 		this.published.itemsRead(List.of(plan("1 s"), entry("a", "s 10.0.0.1")), 0);
 		changed(entry("a", "t 10.0.0.1"));
-		assertThat(this.directory.takesWork("a")).isFalse();
-		assertThat(this.directory.isStaying("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isFalse();
+		assertThat(this.directory.isAvailable("a")).isTrue();
 		changed(plan("2 s t"));
 		assertThat(this.directory.serving("t")).hasSize(1);
 	}
@@ -185,7 +185,7 @@
 		changed(plan("?"));
 		this.published.itemsRead(List.of(plan("?"), entry("a", "s 10.0.0.1")), 1);
 		assertThat(this.published.plan().orElseThrow().version()).isEqualTo(1);
-		assertThat(this.directory.takesWork("a")).isTrue();
+		assertThat(this.directory.acceptsRequests("a")).isTrue();
 		assertThat(audited(AuditKind.CONFIGURATION_REFUSED)).hasSize(1);
 		gone("plan");
 		assertThat(this.published.plan().orElseThrow().version()).isEqualTo(1);
