--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/Evacuations.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/Evacuations.java
@@ -92,7 +92,7 @@
 	 * @param target the target
 	 * @return {@code true} if it must not be sent requests
 	 */
-	public boolean holdsFor(ListedTarget target) {
+	public boolean excludes(ListedTarget target) {
 		return this.withheld.contains(target.id()) || this.evacuated.contains(target.dataCentre());
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -346,7 +346,7 @@
 	 * @return the targets, without evacuated and withheld ones
 	 */
 	public List<ListedTarget> serving(String service) {
-		return available(service).stream().filter((t) -> !this.evacuations.holdsFor(t)).toList();
+		return available(service).stream().filter((t) -> !this.evacuations.excludes(t)).toList();
 	}
 
 	/**
@@ -370,7 +370,7 @@
 	 * @return {@code true} if it is neither draining nor evacuated nor withheld
 	 */
 	public boolean acceptsRequests(String id) {
-		return isAvailable(id) && !this.evacuations.holdsFor(this.targets.get(id));
+		return isAvailable(id) && !this.evacuations.excludes(this.targets.get(id));
 	}
 
 	/**
@@ -436,7 +436,7 @@
 	 * @return {@code true} if it must not be sent requests
 	 */
 	public boolean isEvacuated(ListedTarget target) {
-		return this.evacuations.holdsFor(target);
+		return this.evacuations.excludes(target);
 	}
 
 	/**
