--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/EvacuationListener.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/EvacuationListener.java
@@ -19,6 +19,6 @@
 	 * again.
 	 * @param dataCentre the data centre's name
 	 */
-	void takenBack(String dataCentre);
+	void evacuationEnded(String dataCentre);
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/Evacuations.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/Evacuations.java
@@ -57,7 +57,7 @@
 	 */
 	public void end(String dataCentre) {
 		if (this.evacuated.remove(dataCentre)) {
-			this.listener.takenBack(dataCentre);
+			this.listener.evacuationEnded(dataCentre);
 		}
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
@@ -193,7 +193,7 @@
 		}
 
 		@Override
-		public void takenBack(String dataCentre) {
+		public void evacuationEnded(String dataCentre) {
 			TargetDirectoryTests.this.events.add("taken back " + dataCentre);
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
@@ -191,7 +191,7 @@
 		}
 
 		@Override
-		public void takenBack(String dataCentre) {
+		public void evacuationEnded(String dataCentre) {
 			throw new AssertionError("nothing is evacuated here");
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -433,7 +433,7 @@
 		}
 
 		@Override
-		public void takenBack(String dataCentre) {
+		public void evacuationEnded(String dataCentre) {
 			// Targets accept requests again without further action.
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -218,7 +218,7 @@
 		}
 
 		@Override
-		public void takenBack(String dataCentre) {
+		public void evacuationEnded(String dataCentre) {
 			// Ignored.
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
@@ -56,7 +56,7 @@
 	}
 
 	@Override
-	public void takenBack(String dataCentre) {
+	public void evacuationEnded(String dataCentre) {
 		record(dataCentre, "evacuation ended: its " + targetsIn(dataCentre) + " targets receive requests again");
 	}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -463,7 +463,7 @@
 		}
 
 		@Override
-		public void takenBack(String dataCentre) {
+		public void evacuationEnded(String dataCentre) {
 			this.evacuated.remove(dataCentre);
 		}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
@@ -356,7 +356,7 @@
 		}
 
 		@Override
-		public void takenBack(String dataCentre) {
+		public void evacuationEnded(String dataCentre) {
 			// Not needed.
 		}
 
