--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
@@ -10,7 +10,7 @@
 import dev.laneworks.core.call.CallOutputs;
 import dev.laneworks.core.call.CallRequest;
 import dev.laneworks.core.call.CallSettings;
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.message.ConfigurationMessage;
 import dev.laneworks.core.message.EntryMessage;
@@ -69,7 +69,7 @@
 		this.coordinator = new CallCoordinator(SETTINGS, this.selector, states, new RetryBudget(0.5, 5, 20),
 				new Backoff(Duration.ofMillis(20), Duration.ofMillis(200), random), this, (e) -> {
 				});
-		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationLedger(), configurationService,
+		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationHolder(), configurationService,
 				new Backoff(Duration.ofMillis(50), Duration.ofSeconds(1), random), PEERS_SUFFICE_MILLIS,
 				(t) -> run(() -> t.accept(time.now())), this::applyConfiguration, (e) -> {
 				});
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 
 import dev.laneworks.core.admission.LearnedLengthModel;
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.host.GenerationHost;
 import dev.laneworks.core.host.HostOutputs;
@@ -70,13 +70,13 @@
 		this.index = index;
 		this.incarnation = incarnation;
 		this.engine = engine;
-		ConfigurationLedger ledger = new ConfigurationLedger();
+		ConfigurationHolder holder = new ConfigurationHolder();
 		KeyGuard guard = new KeyGuard(FakeCluster.targetName(index), incarnation, time.now(), this.views);
-		this.host = new GenerationHost(FakeCluster.targetName(index), incarnation, SETTINGS, guard, ledger,
+		this.host = new GenerationHost(FakeCluster.targetName(index), incarnation, SETTINGS, guard, holder,
 				new LearnedLengthModel(64, 64), this, (e) -> {
 				}, time.now());
 		Backoff backoff = new Backoff(Duration.ofMillis(50), Duration.ofSeconds(1), random);
-		ConfigurationKeeper keeper = new ConfigurationKeeper(ledger, configurationService, backoff,
+		ConfigurationKeeper keeper = new ConfigurationKeeper(holder, configurationService, backoff,
 				PEERS_SUFFICE_MILLIS, (t) -> run(() -> t.accept(time.now())), this::applyConfiguration, (e) -> {
 				});
 		keeper.setWatcher(index == 0);
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
@@ -9,7 +9,7 @@
 
 import dev.laneworks.core.admission.LengthClass;
 import dev.laneworks.core.admission.LengthModel;
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.configuration.ConfigurationParser;
 import dev.laneworks.core.configuration.Intent;
 import dev.laneworks.core.configuration.SpillRule;
@@ -70,7 +70,7 @@
 		this.hosts = new GenerationHost[replay.engineCount()];
 		for (int i = 0; i < this.hosts.length; i++) {
 			this.hosts[i] = new GenerationHost("t" + i, 1, settings, new KeyGuard("t" + i, 1, 0, new ViewHistory()),
-					new ConfigurationLedger(), lengths, new Outputs(i), (e) -> {
+					new ConfigurationHolder(), lengths, new Outputs(i), (e) -> {
 					}, 0);
 			this.states.state("t" + i).recordLinkUp(true);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationLedger.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationHolder.java
@@ -19,7 +19,7 @@
  *
  * @since 0.1
  */
-public final class ConfigurationLedger {
+public final class ConfigurationHolder {
 
 	/** The age of a version that the service has never confirmed, in milliseconds. */
 	public static final long NEVER_CONFIRMED = Long.MAX_VALUE;
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -5,7 +5,7 @@
 import dev.laneworks.core.admission.LengthModel;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
@@ -54,16 +54,16 @@
 	 * @param incarnation the incarnation of the sidecar, unique for each process
 	 * @param settings the limits and timeouts
 	 * @param keyGuard the rules for keyed requests
-	 * @param ledger the current configuration
+	 * @param holder the current configuration
 	 * @param lengths the model of output lengths, updated with each finished output
 	 * @param outputs the operations on entries, the target and other sidecars
 	 * @param audit the receiver of audit events
 	 * @param now the current time in milliseconds
 	 */
 	public GenerationHost(String target, long incarnation, HostSettings settings, KeyGuard keyGuard,
-			ConfigurationLedger ledger, LengthModel lengths, HostOutputs outputs, AuditSink audit, long now) {
-		this.context = new HostContext(settings, ledger, outputs, new HostAudit(target, audit), new HostCounters(),
-				new GenerationRegistry(ledger), new Delivery(outputs), new AdmissionController(settings, lengths));
+			ConfigurationHolder holder, LengthModel lengths, HostOutputs outputs, AuditSink audit, long now) {
+		this.context = new HostContext(settings, holder, outputs, new HostAudit(target, audit), new HostCounters(),
+				new GenerationRegistry(holder), new Delivery(outputs), new AdmissionController(settings, lengths));
 		this.refuser = new Refuser(this.context);
 		this.slots = new SlotAllocator(this.context, keyGuard, this.refuser);
 		this.terminator = new GenerationTerminator(this.context, this.refuser, this.slots);
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationRegistry.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationRegistry.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.once.ExpiringNames;
 
 /**
@@ -22,7 +22,7 @@
 	/** Retention of names until the first configuration is loaded. */
 	private static final long DEFAULT_RETENTION_MILLIS = Duration.ofMinutes(20).toMillis();
 
-	private final ConfigurationLedger ledger;
+	private final ConfigurationHolder holder;
 
 	private final Map<String, Generation> generations = new LinkedHashMap<>();
 
@@ -30,8 +30,8 @@
 
 	private final ExpiringNames discarded = new ExpiringNames();
 
-	GenerationRegistry(ConfigurationLedger ledger) {
-		this.ledger = ledger;
+	GenerationRegistry(ConfigurationHolder holder) {
+		this.holder = holder;
 	}
 
 	Optional<Generation> find(String name) {
@@ -88,7 +88,7 @@
 	}
 
 	long retentionMillis() {
-		return this.ledger.current().map((c) -> c.keyTimes().memoryMillis()).orElse(DEFAULT_RETENTION_MILLIS);
+		return this.holder.current().map((c) -> c.keyTimes().memoryMillis()).orElse(DEFAULT_RETENTION_MILLIS);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostContext.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostContext.java
@@ -1,6 +1,6 @@
 package dev.laneworks.core.host;
 
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 
 /**
  * Shared components of one {@link GenerationHost}.
@@ -14,7 +14,7 @@
  * @param delivery the delivery of output to readers
  * @param admission the admission control of the target
  */
-record HostContext(HostSettings settings, ConfigurationLedger ledger, HostOutputs outputs, HostAudit audit,
+record HostContext(HostSettings settings, ConfigurationHolder ledger, HostOutputs outputs, HostAudit audit,
 		HostCounters counters, GenerationRegistry registry, Delivery delivery, AdmissionController admission) {
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.message.OnceKey;
 import dev.laneworks.core.verdict.Refusal;
@@ -59,32 +59,32 @@
 	 * Decide on a keyed request.
 	 * @param key the key
 	 * @param model the name of the model
-	 * @param ledger the current configuration and its age
+	 * @param holder the current configuration and its age
 	 * @param now the current time in milliseconds
 	 * @return whether to run, to ask others first or to refuse
 	 */
-	public KeyDecision decide(OnceKey key, String model, ConfigurationLedger ledger, long now) {
+	public KeyDecision decide(OnceKey key, String model, ConfigurationHolder holder, long now) {
 		if (key.hasTicket()) {
 			return decideTicket(key);
 		}
-		Optional<Refusal> refusal = findViewRefusal(key, model, ledger, now);
+		Optional<Refusal> refusal = findViewRefusal(key, model, holder, now);
 		if (refusal.isPresent()) {
 			return new KeyDecision.Refuse(refusal.get());
 		}
-		return decideAtHome(key.generationName(), model, ledger.current().orElseThrow(), now);
+		return decideAtHome(key.generationName(), model, holder.current().orElseThrow(), now);
 	}
 
 	/**
 	 * Determine whether a keyed request may still run after it waited in the queue.
 	 * @param key the key
 	 * @param model the name of the model
-	 * @param ledger the current configuration and its age
+	 * @param holder the current configuration and its age
 	 * @param now the current time in milliseconds
 	 * @return {@code false} if the view of the published targets is too old or names
 	 * another home
 	 */
-	public boolean mayStillRun(OnceKey key, String model, ConfigurationLedger ledger, long now) {
-		return key.hasTicket() || findViewRefusal(key, model, ledger, now).isEmpty();
+	public boolean mayStillRun(OnceKey key, String model, ConfigurationHolder holder, long now) {
+		return key.hasTicket() || findViewRefusal(key, model, holder, now).isEmpty();
 	}
 
 	/**
@@ -98,9 +98,9 @@
 		return now - this.startedAt >= configuration.keyTimes().memoryMillis();
 	}
 
-	private Optional<Refusal> findViewRefusal(OnceKey key, String model, ConfigurationLedger ledger, long now) {
-		FleetConfiguration configuration = ledger.current().orElse(null);
-		if (configuration == null || ledger.confirmedAgeMillis(now) > configuration.keyTimes().viewAge().toMillis()) {
+	private Optional<Refusal> findViewRefusal(OnceKey key, String model, ConfigurationHolder holder, long now) {
+		FleetConfiguration configuration = holder.current().orElse(null);
+		if (configuration == null || holder.confirmedAgeMillis(now) > configuration.keyTimes().viewAge().toMillis()) {
 			return Optional.of(Refusal.notRun(RefusalReason.STALE_VIEW,
 					"the view of the published targets is too old to decide on a key without a ticket",
 					STALE_VIEW_RETRY));
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.message.ConfigurationMessage;
 
 /**
@@ -94,8 +94,8 @@
 	 * @return a notice with the version and the time since its confirmation
 	 */
 	public ConfigurationMessage.Notice notice(long now) {
-		ConfigurationLedger ledger = this.keeper.ledger();
-		return new ConfigurationMessage.Notice(ledger.version(), ledger.confirmedAgeMillis(now));
+		ConfigurationHolder holder = this.keeper.ledger();
+		return new ConfigurationMessage.Notice(holder.version(), holder.confirmedAgeMillis(now));
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
@@ -6,7 +6,7 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.document.InvalidDocumentException;
 import dev.laneworks.core.retry.Backoff;
@@ -24,7 +24,7 @@
  */
 public final class ConfigurationKeeper {
 
-	private final ConfigurationLedger ledger;
+	private final ConfigurationHolder ledger;
 
 	private final ConfigurationService service;
 
@@ -52,7 +52,7 @@
 
 	/**
 	 * Create a keeper that is a watcher until {@link #setWatcher} is called.
-	 * @param ledger holds the configuration in force
+	 * @param holder holds the configuration in force
 	 * @param service the configuration service of the platform
 	 * @param backoff calculates the delay between calls of the service
 	 * @param maxPeerAgeMillis the maximum age of a confirmation, in milliseconds, with
@@ -62,10 +62,10 @@
 	 * @param onChange receives each configuration that comes into force
 	 * @param audit records decisions and their causes
 	 */
-	public ConfigurationKeeper(ConfigurationLedger ledger, ConfigurationService service, Backoff backoff,
+	public ConfigurationKeeper(ConfigurationHolder holder, ConfigurationService service, Backoff backoff,
 			long maxPeerAgeMillis, Consumer<Consumer<Long>> onDutyThread, Consumer<FleetConfiguration> onChange,
 			AuditSink audit) {
-		this.ledger = ledger;
+		this.ledger = holder;
 		this.service = service;
 		this.backoff = backoff;
 		this.maxPeerAgeMillis = maxPeerAgeMillis;
@@ -112,12 +112,12 @@
 	 * Record the version that is in force at a peer.
 	 * @param version the peer's version, or 0 for none
 	 * @param confirmedAgeMillis the time since the service confirmed the version, in
-	 * milliseconds, or {@link ConfigurationLedger#NEVER_CONFIRMED}
+	 * milliseconds, or {@link ConfigurationHolder#NEVER_CONFIRMED}
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return {@code true} if the peer's version is newer than the one in force
 	 */
 	public boolean onPeerNotice(long version, long confirmedAgeMillis, long now) {
-		if (confirmedAgeMillis != ConfigurationLedger.NEVER_CONFIRMED) {
+		if (confirmedAgeMillis != ConfigurationHolder.NEVER_CONFIRMED) {
 			this.ledger.confirm(version, confirmedAgeMillis, now);
 		}
 		return version > this.ledger.version();
@@ -127,7 +127,7 @@
 	 * Return the ledger with the configuration in force and its age.
 	 * @return the ledger passed to the constructor
 	 */
-	public ConfigurationLedger ledger() {
+	public ConfigurationHolder ledger() {
 		return this.ledger;
 	}
 
@@ -171,7 +171,7 @@
 	}
 
 	private void offer(String source, String text, long now) {
-		Either<InvalidDocumentException, ConfigurationLedger.Outcome> outcome = this.ledger.offer(source, text, now);
+		Either<InvalidDocumentException, ConfigurationHolder.Outcome> outcome = this.ledger.offer(source, text, now);
 		if (outcome.isLeft()) {
 			recordRefusal(outcome.getLeft().getMessage());
 			return;
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 import dev.laneworks.core.admission.LearnedLengthModel;
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
@@ -39,7 +39,7 @@
 
 	private final RecordingOutputs outputs = new RecordingOutputs();
 
-	private final ConfigurationLedger ledger = new ConfigurationLedger();
+	private final ConfigurationHolder holder = new ConfigurationHolder();
 
 	private final ViewHistory views = new ViewHistory();
 
@@ -217,7 +217,7 @@
 		assertThat(this.outputs.last()).startsWith("look up once-");
 		this.host.onLookUp(new OnceKey("a", "k", OnceKey.NO_TICKET).generationName(), false, 20);
 		assertThat(this.outputs.refused).contains(RefusalReason.KEY_IN_DOUBT);
-		this.ledger.confirm(1, 0, 30_000);
+		this.holder.confirm(1, 0, 30_000);
 		submitKeyed(3, new OnceKey("a", "k", OnceKey.NO_TICKET), 30_000);
 		assertThat(this.outputs.starts).isEqualTo(1);
 	}
@@ -251,7 +251,7 @@
 	@Test
 	void checksAQueuedKeyAgainAtAdmission() {
 		publish(1, 0, "t");
-		this.ledger.confirm(1, 0, 40_000);
+		this.holder.confirm(1, 0, 40_000);
 		submit(LINK, 1, "a", 9, 40_000);
 		submit(LINK, 2, "b", 9, 40_000);
 		submitKeyed(3, new OnceKey("a", "k", OnceKey.NO_TICKET), 40_000);
@@ -283,16 +283,16 @@
 
 	private GenerationHost host(HostSettings settings) {
 		return new GenerationHost("t", INCARNATION, settings, new KeyGuard("t", INCARNATION, 0, this.views),
-				this.ledger, new LearnedLengthModel(64, 64), this.outputs, (e) -> {
+				this.holder, new LearnedLengthModel(64, 64), this.outputs, (e) -> {
 				}, 0);
 	}
 
 	private void publish(long version, long now, String target) {
 		String targets = "{\"name\": \"" + target
 				+ "\", \"dataCentre\": \"d\", \"address\": \"10.0.0.1:1\", \"serves\": [\"m\"]}";
-		this.ledger.offer("test", TARGETS.formatted(version, targets), now);
-		this.ledger.confirm(version, 0, now);
-		this.views.record(this.ledger.current().orElseThrow().targets(), now);
+		this.holder.offer("test", TARGETS.formatted(version, targets), now);
+		this.holder.confirm(version, 0, now);
+		this.views.record(this.holder.current().orElseThrow().targets(), now);
 	}
 
 	private void submit(long link, long call, String request, long credit) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -11,7 +11,7 @@
 
 import dev.laneworks.core.call.CallCoordinator;
 import dev.laneworks.core.call.CallCounters;
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.configuration.TargetDescription;
 import dev.laneworks.core.peer.ConfigurationKeeper;
@@ -144,7 +144,7 @@
 
 	private ConfigurationKeeper createConfigurationKeeper() {
 		Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofSeconds(5), this.random);
-		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationLedger(),
+		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationHolder(),
 				this.parts.configurationService(), backoff, PEER_CONFIRMATION_MAX_AGE_MILLIS,
 				(t) -> this.duty.put((s) -> t.accept(MonotonicClock.millis())), this::applyConfiguration,
 				this.parts.audit());
@@ -180,15 +180,15 @@
 
 	private Object status(EntryState state) {
 		long now = MonotonicClock.millis();
-		ConfigurationLedger ledger = state.keeper().ledger();
-		long age = ledger.confirmedAgeMillis(now);
+		ConfigurationHolder holder = state.keeper().ledger();
+		long age = holder.confirmedAgeMillis(now);
 		List<EntryStatus.TargetStatus> targets = state.selector()
 			.usedTargets()
 			.stream()
 			.map((t) -> targetStatus(state, t, now))
 			.toList();
-		return new EntryStatus(this.settings.common().instance(), this.settings.common().dataCentre(), ledger.version(),
-				ledger.digest(), (age != ConfigurationLedger.NEVER_CONFIRMED) ? age : -1, state.keeper().lastRefusal(),
+		return new EntryStatus(this.settings.common().instance(), this.settings.common().dataCentre(), holder.version(),
+				holder.digest(), (age != ConfigurationHolder.NEVER_CONFIRMED) ? age : -1, state.keeper().lastRefusal(),
 				state.keeper().serviceCalls(), state.coordinator().openCalls(), targets);
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 
 import dev.laneworks.core.admission.LearnedLengthModel;
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.configuration.TargetDescription;
 import dev.laneworks.core.host.GenerationHost;
@@ -134,7 +134,7 @@
 	private SidecarState createState(EventLoop loop) {
 		long now = MonotonicClock.millis();
 		String target = this.settings.common().instance();
-		ConfigurationLedger ledger = new ConfigurationLedger();
+		ConfigurationHolder holder = new ConfigurationHolder();
 		ViewHistory views = new ViewHistory();
 		HttpTargetClient client = new HttpTargetClient(this.parts.caller(), this.settings.target(),
 				new HostTargetEvents((c) -> this.duty.put(c)));
@@ -142,11 +142,11 @@
 				new FormerHomeListener((c) -> this.duty.put(c)));
 		SidecarOutputs outputs = new SidecarOutputs(this.links, client, this.otherSidecars);
 		KeyGuard guard = new KeyGuard(target, this.incarnation, now, views);
-		GenerationHost host = new GenerationHost(target, this.incarnation, this.settings.host(), guard, ledger,
+		GenerationHost host = new GenerationHost(target, this.incarnation, this.settings.host(), guard, holder,
 				new LearnedLengthModel(this.settings.host().lengthHalfLife(), LearnedLengthModel.DEFAULT_MAX_CLASSES),
 				outputs, this.parts.audit(), now);
 		Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofSeconds(5), this.random);
-		ConfigurationKeeper keeper = new ConfigurationKeeper(ledger, this.parts.configurationService(), backoff,
+		ConfigurationKeeper keeper = new ConfigurationKeeper(holder, this.parts.configurationService(), backoff,
 				PEER_CONFIRMATION_MAX_AGE_MILLIS, (t) -> this.duty.put((s) -> t.accept(MonotonicClock.millis())),
 				this::applyConfiguration, this.parts.audit());
 		registerMetrics(host.counters());
@@ -200,10 +200,10 @@
 
 	private Object status(SidecarState state) {
 		long now = MonotonicClock.millis();
-		ConfigurationLedger ledger = state.keeper().ledger();
+		ConfigurationHolder holder = state.keeper().ledger();
 		return new SidecarStatus(this.settings.common().instance(), this.settings.common().dataCentre(),
-				Long.toHexString(this.incarnation), ledger.version(), ledger.digest(),
-				SidecarStatus.age(ledger.confirmedAgeMillis(now)), state.keeper().lastRefusal(),
+				Long.toHexString(this.incarnation), holder.version(), holder.digest(),
+				SidecarStatus.age(holder.confirmedAgeMillis(now)), state.keeper().lastRefusal(),
 				state.keeper().serviceCalls(), state.linkCount(), state.host().load(), state.host().status());
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarStatus.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarStatus.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import dev.laneworks.core.configuration.ConfigurationLedger;
+import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.host.GenerationStatus;
 import dev.laneworks.core.message.LoadReport;
 
@@ -27,7 +27,7 @@
 		LoadReport load, List<GenerationStatus> generations) {
 
 	static long age(long millis) {
-		return (millis != ConfigurationLedger.NEVER_CONFIRMED) ? millis : -1;
+		return (millis != ConfigurationHolder.NEVER_CONFIRMED) ? millis : -1;
 	}
 
 }
