--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -147,7 +147,7 @@
 		this.exchange.keeper()
 			.ledger()
 			.current()
-			.ifPresent((c) -> this.views.forget(now - c.keyTimes().memoryMillis()));
+			.ifPresent((c) -> this.views.forget(now - c.keyTimes().retentionMillis()));
 	}
 
 	@Override
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationParser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationParser.java
@@ -58,17 +58,17 @@
 
 	private FleetConfiguration configuration(DocumentObject root) {
 		long version = root.integer("version", 1, Long.MAX_VALUE);
-		KeyTimes keyTimes = keyTimes(root.object("keys"));
+		KeyRetention keyRetention = keyTimes(root.object("keys"));
 		List<ServiceDescription> services = services(root.objects("services"));
 		List<TargetDescription> targets = targets(root.objects("targets"));
 		List<AccountDescription> accounts = accounts(root.objects("accounts"));
 		List<Intent> intents = intents(root.objects("intents"));
-		return new FleetConfiguration(version, keyTimes, targets, services, accounts, intents);
+		return new FleetConfiguration(version, keyRetention, targets, services, accounts, intents);
 	}
 
-	private static KeyTimes keyTimes(DocumentObject keys) {
+	private static KeyRetention keyTimes(DocumentObject keys) {
 		Duration minimum = Duration.ofSeconds(1);
-		return new KeyTimes(keys.duration("retryWindow", minimum, MAX_WINDOW, DEFAULT_RETRY_WINDOW),
+		return new KeyRetention(keys.duration("retryWindow", minimum, MAX_WINDOW, DEFAULT_RETRY_WINDOW),
 				keys.duration("viewAge", minimum, MAX_WINDOW, DEFAULT_VIEW_AGE),
 				keys.duration("serviceStaleness", minimum, MAX_WINDOW, DEFAULT_STALENESS));
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/FleetConfiguration.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/FleetConfiguration.java
@@ -19,7 +19,7 @@
 
 	private final long version;
 
-	private final KeyTimes keyTimes;
+	private final KeyRetention keyRetention;
 
 	private final Map<String, TargetDescription> targets;
 
@@ -33,10 +33,10 @@
 
 	private final Map<IntentKey, Intent> intents;
 
-	FleetConfiguration(long version, KeyTimes keyTimes, List<TargetDescription> targets,
+	FleetConfiguration(long version, KeyRetention keyRetention, List<TargetDescription> targets,
 			List<ServiceDescription> services, List<AccountDescription> accounts, List<Intent> intents) {
 		this.version = version;
-		this.keyTimes = keyTimes;
+		this.keyRetention = keyRetention;
 		this.targets = new LinkedHashMap<>();
 		this.targetsByModel = new HashMap<>();
 		targets.forEach(this::addTarget);
@@ -61,8 +61,8 @@
 	 * Return the periods that bound the use of idempotency keys.
 	 * @return the periods
 	 */
-	public KeyTimes keyTimes() {
-		return this.keyTimes;
+	public KeyRetention keyTimes() {
+		return this.keyRetention;
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/KeyTimes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/KeyRetention.java
@@ -15,7 +15,7 @@
  * @param serviceStaleness the maximum age of the configuration service's answer
  * @since 0.1
  */
-public record KeyTimes(Duration retryWindow, Duration viewAge, Duration serviceStaleness) {
+public record KeyRetention(Duration retryWindow, Duration viewAge, Duration serviceStaleness) {
 
 	/** The longest transit of a request from an entry to a sidecar. */
 	private static final Duration TRANSIT = Duration.ofSeconds(10);
@@ -24,7 +24,7 @@
 	 * Return how long a sidecar must retain keys and former views.
 	 * @return the time in milliseconds
 	 */
-	public long memoryMillis() {
+	public long retentionMillis() {
 		return this.retryWindow.plus(this.viewAge).plus(this.serviceStaleness).plus(TRANSIT).toMillis();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationRegistry.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationRegistry.java
@@ -88,7 +88,7 @@
 	}
 
 	long retentionMillis() {
-		return this.holder.current().map((c) -> c.keyTimes().memoryMillis()).orElse(DEFAULT_RETENTION_MILLIS);
+		return this.holder.current().map((c) -> c.keyTimes().retentionMillis()).orElse(DEFAULT_RETENTION_MILLIS);
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
@@ -95,7 +95,7 @@
 	 * @return {@code true} if the sidecar started long enough ago
 	 */
 	public boolean remembersWindow(FleetConfiguration configuration, long now) {
-		return now - this.startedAt >= configuration.keyTimes().memoryMillis();
+		return now - this.startedAt >= configuration.keyTimes().retentionMillis();
 	}
 
 	private Optional<Refusal> findViewRefusal(OnceKey key, String model, ConfigurationHolder holder, long now) {
@@ -122,7 +122,7 @@
 
 	private KeyDecision decideAtHome(String generation, String model, FleetConfiguration configuration, long now) {
 		if (!remembersWindow(configuration, now)) {
-			long remainingMillis = this.startedAt + configuration.keyTimes().memoryMillis() - now;
+			long remainingMillis = this.startedAt + configuration.keyTimes().retentionMillis() - now;
 			return new KeyDecision.AskTarget(new Refusal(Verdict.MAY_HAVE_RUN, RefusalReason.KEY_IN_DOUBT,
 					"this request did not run: an earlier request with the key may have run before this sidecar started",
 					Optional.of(Duration.ofMillis(remainingMillis))));
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
@@ -97,7 +97,7 @@
 		this.exchange.keeper()
 			.ledger()
 			.current()
-			.ifPresent((c) -> this.views.forget(now - c.keyTimes().memoryMillis()));
+			.ifPresent((c) -> this.views.forget(now - c.keyTimes().retentionMillis()));
 	}
 
 	void onConfigurationMessage(Link link, ConfigurationMessage message) {
