--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationParser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/ConfigurationParser.java
@@ -165,7 +165,7 @@
 		}
 		return new Intent(account, model, object.text("adapter", ""), object.text("modelVersion", "1"),
 				(int) object.integer("priority", 0, MAX_PRIORITY, 1), centres,
-				object.word("spill", SpillRule.class, SpillRule.REGION), object.bool("repeatable", true));
+				object.enumValue("spill", SpillRule.class, SpillRule.REGION), object.bool("repeatable", true));
 	}
 
 	private static String uniqueName(DocumentObject object, Set<String> names) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentObject.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentObject.java
@@ -17,7 +17,7 @@
  * <p>
  * A method that finds an invalid value records the fault with its line and path and
  * returns a placeholder, so that reading continues and all faults are reported at once.
- * Members that no method has read are unknown, which {@link #end()} reports. Not
+ * Members that no method has read are unknown, which {@link #checkUnknownMembers()} reports. Not
  * thread-safe.
  *
  * @since 0.1
@@ -275,7 +275,7 @@
 	 * @param fallback the value if the member is missing
 	 * @return the constant
 	 */
-	public <E extends Enum<E>> E word(String name, Class<E> type, E fallback) {
+	public <E extends Enum<E>> E enumValue(String name, Class<E> type, E fallback) {
 		if (!has(name)) {
 			return fallback;
 		}
@@ -333,14 +333,14 @@
 	 * Record a fault for each member of this object, and of the objects read from it,
 	 * that no method has read.
 	 */
-	public void end() {
+	public void checkUnknownMembers() {
 		for (var member : this.node.members().entrySet()) {
 			if (!this.requestedMembers.contains(member.getKey())) {
 				record(invalid(member.getKey(),
 						"is unknown; allowed here: " + String.join(", ", this.requestedMembers)));
 			}
 		}
-		this.children.forEach(DocumentObject::end);
+		this.children.forEach(DocumentObject::checkUnknownMembers);
 	}
 
 	// The placeholder of an invalid object is empty, and its faults are discarded.
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentReader.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentReader.java
@@ -45,7 +45,7 @@
 		try {
 			DocumentObject root = new DocumentObject(source, "", parse(source, text), faults);
 			value = mapping.apply(root);
-			root.end();
+			root.checkUnknownMembers();
 		}
 		catch (InvalidDocumentException ex) {
 			addUnlessConsequence(faults, ex);
