--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -101,7 +101,7 @@
 			this.directory.requestRejected(target.incarnation());
 		}
 		else {
-			this.beliefs.of(target).full(now + this.settings.comeBackMillis());
+			this.beliefs.of(target).markFull(now + this.settings.comeBackMillis());
 		}
 		this.audit.record(call.event(AuditKind.RETRIED, target.id(), "not run there: status " + head.status()));
 		handleNotAccepted(call, attempt, "status " + head.status(), now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -126,7 +126,7 @@
 				+ ", directory of " + this.directory.size() + ", left out "
 				+ this.eligibility.countExcluded(call.scope(), now)
 				+ backup.map((b) -> ", copy grows at " + b.id()).orElse("")));
-		this.beliefs.change(target, TargetBelief::began);
+		this.beliefs.change(target, TargetEstimate::requestStarted);
 		this.eligibility.sent(target, now);
 		reserve(attempt, heldTokens(call, engine));
 		if (resume.isEmpty()) {
@@ -145,7 +145,7 @@
 	void end(DirectCall call, Attempt attempt) {
 		reserve(attempt, 0);
 		updateUnread(attempt, 0);
-		this.beliefs.change(attempt.target(), TargetBelief::ended);
+		this.beliefs.change(attempt.target(), TargetEstimate::requestEnded);
 		call.end(attempt);
 	}
 
@@ -183,7 +183,7 @@
 		}
 		ListedTarget backup = attempt.backup().get();
 		this.audit.record(call.event(AuditKind.MOVED, backup.id(), "its live copy is dropped: " + cause));
-		this.beliefs.change(backup, (b) -> b.held(-attempt.heldTokens()));
+		this.beliefs.change(backup, (b) -> b.addReservedTokens(-attempt.heldTokens()));
 		attempt.dropBackup();
 		this.outputs.releaseCopy(attempt.target(), call.request().id());
 	}
@@ -214,15 +214,15 @@
 			return;
 		}
 		attempt.setHeldTokens(tokens);
-		this.beliefs.change(attempt.target(), (b) -> b.held(change));
-		attempt.backup().ifPresent((t) -> this.beliefs.change(t, (b) -> b.held(change)));
+		this.beliefs.change(attempt.target(), (b) -> b.addReservedTokens(change));
+		attempt.backup().ifPresent((t) -> this.beliefs.change(t, (b) -> b.addReservedTokens(change)));
 	}
 
 	private void updateUnread(Attempt attempt, long tokens) {
 		long change = tokens - attempt.unreadTokens();
 		if (change != 0) {
 			attempt.setUnreadTokens(tokens);
-			this.beliefs.change(attempt.target(), (b) -> b.unread(change));
+			this.beliefs.change(attempt.target(), (b) -> b.addPendingPromptTokens(change));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -244,7 +244,7 @@
 			return false;
 		}
 		ListedTarget target = found.get().target();
-		head.load().ifPresent((l) -> this.beliefs.of(target).told(l, now));
+		head.load().ifPresent((l) -> this.beliefs.of(target).recordLoad(l, now));
 		head.coldMillis().ifPresent((c) -> this.eligibility.recordCold(target, c, now));
 		if (head.speaksForTarget(this.calls.get(number).request().id()) && this.directory.isCurrentIncarnation(target)) {
 			this.eligibility.told(target, head.needs(), found.get().sentAt(), now);
@@ -445,7 +445,7 @@
 			return;
 		}
 		this.standbys.leaving(target, now);
-		this.beliefs.of(target).leaving(now);
+		this.beliefs.of(target).markDraining(now);
 		for (DirectCall call : List.copyOf(this.calls.values())) {
 			if (call.attempt().filter((a) -> a.isAnswering() && a.target().isSameIncarnation(target)).isPresent()) {
 				this.continuation.moveFromEngine(call, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
@@ -92,11 +92,11 @@
 		endActiveCopy();
 		this.active = Optional.of(call);
 		this.activeEngines = List.of(this.source, call.copying().get().destination());
-		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.copying(1)));
+		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.addCopies(1)));
 	}
 
 	void endActiveCopy() {
-		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.copying(-1)));
+		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.addCopies(-1)));
 		this.activeEngines = List.of();
 		this.active = Optional.empty();
 	}
@@ -137,7 +137,7 @@
 		Copying copying = call.copying().get();
 		if (copying.isCounted() != isToMove) {
 			copying.counted(isToMove);
-			this.estimates.change(this.source, (b) -> b.toMove(isToMove ? 1 : -1));
+			this.estimates.change(this.source, (b) -> b.addPendingMoves(isToMove ? 1 : -1));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -139,7 +139,7 @@
 		}
 		record(call, order.destination(), "standby copy failed: " + result.outcome());
 		if (result.outcome() != CopyResult.Outcome.NO_ANSWER) {
-			this.estimates.of(order.destination()).full(now + StreamMover.REJECTED_COPY_BACKOFF_MILLIS);
+			this.estimates.of(order.destination()).markFull(now + StreamMover.REJECTED_COPY_BACKOFF_MILLIS);
 		}
 		drop(call);
 	}
@@ -166,7 +166,7 @@
 	Optional<Standby> take(DirectCall call) {
 		Optional<Standby> standby = call.standby();
 		standby.ifPresent((s) -> {
-			this.estimates.change(s.destination(), (b) -> b.held(-s.promisedTokens()));
+			this.estimates.change(s.destination(), (b) -> b.addReservedTokens(-s.promisedTokens()));
 			call.standby(Optional.empty());
 		});
 		endActiveCopy(call);
@@ -176,7 +176,7 @@
 	private void endActiveCopy(DirectCall call) {
 		if (this.activeCall.filter((c) -> c == call).isPresent()) {
 			this.activeCall = Optional.empty();
-			this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.copying(-1)));
+			this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.addCopies(-1)));
 			this.activeEngines = List.of();
 		}
 	}
@@ -237,7 +237,7 @@
 	private void order(DirectCall call, ListedTarget source, ListedTarget destination) {
 		this.activeCall = Optional.of(call);
 		this.activeEngines = List.of(source, destination);
-		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.copying(1)));
+		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.addCopies(1)));
 		this.outputs.copy(call.number(), new CopyOrder(call.request().id(), source, destination, false));
 	}
 
@@ -252,7 +252,7 @@
 
 	private void startCopy(DirectCall call, Attempt attempt, ListedTarget destination) {
 		long tokens = attempt.heldTokens();
-		this.estimates.change(destination, (b) -> b.held(tokens));
+		this.estimates.change(destination, (b) -> b.addReservedTokens(tokens));
 		call.standby(Optional.of(new Standby(attempt.target(), destination, tokens)));
 		record(call, destination, "standby copy started");
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -95,7 +95,7 @@
 		}
 		ListedTarget source = call.attempt().get().target();
 		call.copy(new Copying(source));
-		long noticedAt = this.estimates.of(source).leavingSince().orElse(now);
+		long noticedAt = this.estimates.of(source).drainingSince().orElse(now);
 		MoveQueue queue = this.queues.computeIfAbsent(source.incarnation(),
 				(incarnation) -> new MoveQueue(source, noticedAt, this.estimates));
 		queue.add(call);
@@ -240,7 +240,7 @@
 		}
 		copying.to(destination.get(), tokens);
 		queue.startCopy(call);
-		this.estimates.change(destination.get(), (b) -> b.held(tokens));
+		this.estimates.change(destination.get(), (b) -> b.addReservedTokens(tokens));
 		copying.enter(CopyPhase.AHEAD);
 		sendCopyOrder(call, copying, now);
 	}
@@ -296,7 +296,7 @@
 	}
 
 	private void backOff(ListedTarget destination, long now) {
-		this.estimates.of(destination).full(now + REJECTED_COPY_BACKOFF_MILLIS);
+		this.estimates.of(destination).markFull(now + REJECTED_COPY_BACKOFF_MILLIS);
 	}
 
 	private void requeue(MoveQueue queue, DirectCall call, long now) {
@@ -396,7 +396,7 @@
 	private void releaseReservation(Copying copying) {
 		long tokens = copying.promisedTokens();
 		if (tokens > 0) {
-			this.estimates.change(copying.destination(), (b) -> b.held(-tokens));
+			this.estimates.change(copying.destination(), (b) -> b.addReservedTokens(-tokens));
 			copying.to(copying.destination(), 0);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
@@ -26,7 +26,7 @@
 	/** Lower bound of the random factor of a backoff; the upper bound is one more. */
 	private static final double MIN_BACKOFF_FACTOR = 0.5;
 
-	private final Map<TargetIncarnation, TargetBelief> byIncarnation = new HashMap<>();
+	private final Map<TargetIncarnation, TargetEstimate> byIncarnation = new HashMap<>();
 
 	private final Function<TargetIncarnation, Optional<WorkAtTarget>> others;
 
@@ -81,7 +81,7 @@
 	 * @param target the draining target
 	 */
 	public void saidLeaving(ListedTarget target) {
-		of(target).saidLeaving();
+		of(target).recordAnnouncedDraining();
 		this.changeListener.changed(target, Change.LEAVING);
 	}
 
@@ -91,7 +91,7 @@
 	 * @param target the reachable target
 	 */
 	public void reached(ListedTarget target) {
-		TargetBelief estimate = of(target);
+		TargetEstimate estimate = of(target);
 		estimate.connected();
 		estimate.unreachableDetector().reset(refusalsOfAllEntries(estimate));
 	}
@@ -104,7 +104,7 @@
 	 * @return {@code true} if the target should not receive requests
 	 */
 	public boolean isDoubted(ListedTarget target, long now) {
-		TargetBelief estimate = of(target);
+		TargetEstimate estimate = of(target);
 		if (estimate.unreachableDetector()
 			.observe(refusalsOfAllEntries(estimate), MIN_BACKOFF_FACTOR + this.random.nextDouble(), now)) {
 			this.unreachableListener.accept(target);
@@ -120,11 +120,11 @@
 	public long doubted(long now) {
 		return this.byIncarnation.values()
 			.stream()
-			.filter((b) -> !b.isGone() && b.unreachableDetector().isUnreachable(now))
+			.filter((b) -> !b.isRemoved() && b.unreachableDetector().isUnreachable(now))
 			.count();
 	}
 
-	private long refusalsOfAllEntries(TargetBelief estimate) {
+	private long refusalsOfAllEntries(TargetEstimate estimate) {
 		return estimate.refused() + this.others.apply(estimate.target().incarnation()).map(WorkAtTarget::refused).orElse(0);
 	}
 
@@ -134,23 +134,23 @@
 	 * @param target the target to update
 	 * @param change the update
 	 */
-	public void change(ListedTarget target, Consumer<TargetBelief> change) {
-		TargetBelief estimate = this.byIncarnation.get(target.incarnation());
+	public void change(ListedTarget target, Consumer<TargetEstimate> change) {
+		TargetEstimate estimate = this.byIncarnation.get(target.incarnation());
 		if (estimate == null) {
 			return;
 		}
-		int toMove = estimate.toMove();
+		int toMove = estimate.pendingMoves();
 		int inFlight = estimate.inFlight();
 		boolean wasCopying = estimate.isCopying();
 		change.accept(estimate);
 		removeIfUnused(estimate);
-		boolean isAwaitedByOthers = estimate.toMove() != toMove || estimate.isCopying() != wasCopying;
+		boolean isAwaitedByOthers = estimate.pendingMoves() != toMove || estimate.isCopying() != wasCopying;
 		Change kind = (estimate.inFlight() > inFlight) ? Change.BEGUN : Change.OTHER;
 		this.changeListener.changed(target, isAwaitedByOthers ? Change.AWAITED : kind);
 	}
 
-	private void removeIfUnused(TargetBelief estimate) {
-		if (estimate.isGone() && estimate.inFlight() <= 0 && estimate.toMove() <= 0 && estimate.ownTokens() <= 0) {
+	private void removeIfUnused(TargetEstimate estimate) {
+		if (estimate.isRemoved() && estimate.inFlight() <= 0 && estimate.pendingMoves() <= 0 && estimate.reservedTokens() <= 0) {
 			this.byIncarnation.remove(estimate.target().incarnation());
 		}
 	}
@@ -162,14 +162,14 @@
 	public List<WorkAtTarget> ownWork() {
 		return this.byIncarnation.values()
 			.stream()
-			.filter((b) -> b.inFlight() > 0 || b.ownTokens() > 0 || hasSignalsToReport(b))
-			.map((b) -> new WorkAtTarget(b.target().incarnation(), b.inFlight(), b.ownTokens(), b.ownUnread(), b.toMove(),
-					b.isCopying(), b.refused(), b.hasSaidLeaving()))
+			.filter((b) -> b.inFlight() > 0 || b.reservedTokens() > 0 || hasSignalsToReport(b))
+			.map((b) -> new WorkAtTarget(b.target().incarnation(), b.inFlight(), b.reservedTokens(), b.pendingPromptTokens(), b.pendingMoves(),
+					b.isCopying(), b.refused(), b.hasAnnouncedDraining()))
 			.toList();
 	}
 
-	private static boolean hasSignalsToReport(TargetBelief estimate) {
-		return !estimate.isGone() && (estimate.refused() > 0 || estimate.hasSaidLeaving());
+	private static boolean hasSignalsToReport(TargetEstimate estimate) {
+		return !estimate.isRemoved() && (estimate.refused() > 0 || estimate.hasAnnouncedDraining());
 	}
 
 	/**
@@ -179,10 +179,10 @@
 	 * @return the number of requests
 	 */
 	public double requests(ListedTarget target, long now) {
-		TargetBelief estimate = of(target);
+		TargetEstimate estimate = of(target);
 		return estimate.inFlight() + this.others.apply(target.incarnation())
 			.map((w) -> (double) w.requests())
-			.orElseGet(() -> estimate.othersTold(now));
+			.orElseGet(() -> estimate.requestsOfOthers(now));
 	}
 
 	/**
@@ -194,10 +194,10 @@
 	 * @return the number of tokens
 	 */
 	public double heldTokens(ListedTarget target, double tokensOfOthers, long now) {
-		TargetBelief estimate = of(target);
-		return estimate.ownTokens() + this.others.apply(target.incarnation())
+		TargetEstimate estimate = of(target);
+		return estimate.reservedTokens() + this.others.apply(target.incarnation())
 			.map((w) -> (double) w.reservedTokens())
-			.orElseGet(() -> estimate.othersTold(now) * tokensOfOthers);
+			.orElseGet(() -> estimate.requestsOfOthers(now) * tokensOfOthers);
 	}
 
 	/**
@@ -206,7 +206,7 @@
 	 * @return the number of tokens
 	 */
 	public long unreadTokens(ListedTarget target) {
-		return of(target).ownUnread() + this.others.apply(target.incarnation()).map(WorkAtTarget::pendingPromptTokens).orElse(0L);
+		return of(target).pendingPromptTokens() + this.others.apply(target.incarnation()).map(WorkAtTarget::pendingPromptTokens).orElse(0L);
 	}
 
 	/**
@@ -223,8 +223,8 @@
 	 * @param target the target to look up
 	 * @return the recorded state, never {@code null}
 	 */
-	public TargetBelief of(ListedTarget target) {
-		return this.byIncarnation.computeIfAbsent(target.incarnation(), (incarnation) -> new TargetBelief(target));
+	public TargetEstimate of(ListedTarget target) {
+		return this.byIncarnation.computeIfAbsent(target.incarnation(), (incarnation) -> new TargetEstimate(target));
 	}
 
 	/**
@@ -233,9 +233,9 @@
 	 * @param target the removed target
 	 */
 	public void forget(ListedTarget target) {
-		TargetBelief estimate = this.byIncarnation.get(target.incarnation());
+		TargetEstimate estimate = this.byIncarnation.get(target.incarnation());
 		if (estimate != null) {
-			estimate.gone();
+			estimate.markRemoved();
 			removeIfUnused(estimate);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
@@ -284,7 +284,7 @@
 	}
 
 	private double plainScore(ListedTarget target, double fastest, long now) {
-		TargetBelief estimate = this.estimates.of(target);
+		TargetEstimate estimate = this.estimates.of(target);
 		double response = Math.max(fastest, estimate.quality().responseMillis());
 		double slowness = this.mechanisms.use(Mechanism.LEARNED_SPEED)
 				? Math.min(MAX_SLOWNESS_FACTOR, response / fastest) : 1;
@@ -298,7 +298,7 @@
 
 	private double engineScore(ListedTarget target, EngineSpec engine, long tokens, String from, double remotePenalty,
 			long now) {
-		TargetBelief estimate = this.estimates.of(target);
+		TargetEstimate estimate = this.estimates.of(target);
 		double score = (this.estimates.heldTokens(target, this.meanTokens, now) + tokens) / engine.memoryTokens();
 		score += this.estimates.unreadTokens(target) / THOUSAND * UNREAD_KILOTOKEN_PENALTY;
 		score += estimate.waiting(now) * QUEUED_REQUEST_PENALTY + estimate.quality().badShare(now) + jitter();
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBelief.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetEstimate.java
@@ -10,7 +10,7 @@
  *
  * @since 0.2
  */
-public final class TargetBelief {
+public final class TargetEstimate {
 
 	/**
 	 * Age in milliseconds up to which a load report counts fully; older reports decay.
@@ -21,17 +21,17 @@
 
 	private ListedTarget target;
 
-	private boolean gone;
+	private boolean removed;
 
-	private OptionalLong leavingSince = OptionalLong.empty();
+	private OptionalLong drainingSince = OptionalLong.empty();
 
 	private int inFlight;
 
-	private long ownTokens;
+	private long reservedTokens;
 
-	private long ownUnread;
+	private long pendingPromptTokens;
 
-	private int toMove;
+	private int pendingMoves;
 
 	private int copies;
 
@@ -45,7 +45,7 @@
 
 	private int refused;
 
-	private boolean saidLeaving;
+	private boolean announcedDraining;
 
 	private final UnreachableDetector unreachableDetector = new UnreachableDetector();
 
@@ -53,7 +53,7 @@
 	 * Create a state without any recorded work.
 	 * @param target the target as currently listed
 	 */
-	public TargetBelief(ListedTarget target) {
+	public TargetEstimate(ListedTarget target) {
 		this.target = target;
 	}
 
@@ -69,10 +69,10 @@
 	 * Record the target's new list entry, which ends its removal or draining.
 	 * @param listed the new list entry
 	 */
-	public void listed(ListedTarget listed) {
+	public void recordListed(ListedTarget listed) {
 		this.target = listed;
-		this.gone = false;
-		this.leavingSince = OptionalLong.empty();
+		this.removed = false;
+		this.drainingSince = OptionalLong.empty();
 	}
 
 	/**
@@ -87,12 +87,12 @@
 	 * Determine whether the target announced its draining to this process itself.
 	 * @return {@code true} if other entries must be notified
 	 */
-	public boolean hasSaidLeaving() {
-		return this.saidLeaving;
+	public boolean hasAnnouncedDraining() {
+		return this.announcedDraining;
 	}
 
-	void saidLeaving() {
-		this.saidLeaving = true;
+	void recordAnnouncedDraining() {
+		this.announcedDraining = true;
 	}
 
 	void connectionRefused() {
@@ -108,25 +108,25 @@
 	}
 
 	/** Record that the target is no longer listed. */
-	public void gone() {
-		this.gone = true;
+	public void markRemoved() {
+		this.removed = true;
 	}
 
 	/**
 	 * Determine whether the target is no longer listed.
 	 * @return {@code true} if it was removed from the list
 	 */
-	public boolean isGone() {
-		return this.gone;
+	public boolean isRemoved() {
+		return this.removed;
 	}
 
 	/**
 	 * Record that the target is draining. Later calls do not change the start time.
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	public void leaving(long now) {
-		if (this.leavingSince.isEmpty()) {
-			this.leavingSince = OptionalLong.of(now);
+	public void markDraining(long now) {
+		if (this.drainingSince.isEmpty()) {
+			this.drainingSince = OptionalLong.of(now);
 		}
 	}
 
@@ -135,8 +135,8 @@
 	 * @return the time in milliseconds of the monotonic clock, or empty if the target is
 	 * not draining
 	 */
-	public OptionalLong leavingSince() {
-		return this.leavingSince;
+	public OptionalLong drainingSince() {
+		return this.drainingSince;
 	}
 
 	/**
@@ -159,8 +159,8 @@
 	 * Return the engine memory reserved for this process's requests.
 	 * @return the reserved memory in tokens
 	 */
-	public long ownTokens() {
-		return this.ownTokens;
+	public long reservedTokens() {
+		return this.reservedTokens;
 	}
 
 	/**
@@ -168,17 +168,17 @@
 	 * yet.
 	 * @return the number of tokens
 	 */
-	public long ownUnread() {
-		return this.ownUnread;
+	public long pendingPromptTokens() {
+		return this.pendingPromptTokens;
 	}
 
 	/** Record that a request was sent to the target. */
-	public void began() {
+	public void requestStarted() {
 		this.inFlight++;
 	}
 
 	/** Record that a request at the target ended. */
-	public void ended() {
+	public void requestEnded() {
 		this.inFlight--;
 	}
 
@@ -186,24 +186,24 @@
 	 * Reserve or release engine memory.
 	 * @param tokens the number of tokens; negative to release
 	 */
-	public void held(long tokens) {
-		this.ownTokens += tokens;
+	public void addReservedTokens(long tokens) {
+		this.reservedTokens += tokens;
 	}
 
 	/**
 	 * Return how many generations of this process are pending to be moved away.
 	 * @return the count of pending moves
 	 */
-	public int toMove() {
-		return this.toMove;
+	public int pendingMoves() {
+		return this.pendingMoves;
 	}
 
 	/**
 	 * Record a change in the number of pending moves.
 	 * @param change 1 to add a pending move, -1 to remove one
 	 */
-	public void toMove(int change) {
-		this.toMove += change;
+	public void addPendingMoves(int change) {
+		this.pendingMoves += change;
 	}
 
 	/**
@@ -218,7 +218,7 @@
 	 * Record that a copy from or to the target starts or ends.
 	 * @param change 1 at the start, -1 at the end
 	 */
-	public void copying(int change) {
+	public void addCopies(int change) {
 		this.copies += change;
 	}
 
@@ -226,8 +226,8 @@
 	 * Record prompt tokens that are sent or read.
 	 * @param tokens the number of tokens; negative once they are read
 	 */
-	public void unread(long tokens) {
-		this.ownUnread += tokens;
+	public void addPendingPromptTokens(long tokens) {
+		this.pendingPromptTokens += tokens;
 	}
 
 	/**
@@ -235,7 +235,7 @@
 	 * @param load the reported load
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	public void told(TargetLoad load, long now) {
+	public void recordLoad(TargetLoad load, long now) {
 		this.waiting = load.waiting();
 		this.othersRunning = Math.max(0, load.running() + load.waiting() - this.inFlight);
 		this.loadReportedAt = now;
@@ -246,7 +246,7 @@
 	 * @param until the time until which other targets are preferred, in milliseconds of
 	 * the monotonic clock
 	 */
-	public void full(long until) {
+	public void markFull(long until) {
 		this.fullUntil = Math.max(this.fullUntil, until);
 	}
 
@@ -265,7 +265,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the count, which decays as the report ages
 	 */
-	public double othersTold(long now) {
+	public double requestsOfOthers(long now) {
 		return this.othersRunning * decay(now - this.loadReportedAt);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -448,7 +448,7 @@
 
 		@Override
 		public void joined(ListedTarget target) {
-			DispatchHarness.this.beliefs.of(target).listed(target);
+			DispatchHarness.this.beliefs.of(target).recordListed(target);
 		}
 
 		@Override
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
@@ -230,7 +230,7 @@
 		this.harness.now += 300;
 		this.harness.copied(Outcome.COPIED, "h1");
 		this.harness.join(DispatchHarness.ENGINES, "c");
-		this.harness.beliefs.change(destination, (b) -> b.held(6_000));
+		this.harness.beliefs.change(destination, (b) -> b.addReservedTokens(6_000));
 		this.harness.copied(Outcome.UNDER_WAY, "");
 		this.harness.passTime(100);
 		assertThat(this.harness.copies).hasSize(3);
@@ -257,8 +257,8 @@
 		Sent first = streamWithoutLiveCopy();
 		ListedTarget free = this.harness.join(DispatchHarness.ENGINES, "c");
 		ListedTarget busy = this.harness.directory.find("b").get();
-		this.harness.beliefs.change(free, (b) -> b.held(5_000));
-		this.harness.beliefs.of(busy).copying(1);
+		this.harness.beliefs.change(free, (b) -> b.addReservedTokens(5_000));
+		this.harness.beliefs.of(busy).addCopies(1);
 		this.harness.leave(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies.get(0).destination()).isEqualTo(free);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
@@ -24,11 +24,11 @@
 	@Test
 	void releasedCopyMemoryIsSubtractedFromTheStateThatReservedIt() {
 		this.estimates.of(this.target);
-		this.estimates.change(this.target, (b) -> b.held(700));
+		this.estimates.change(this.target, (b) -> b.addReservedTokens(700));
 		this.estimates.forget(this.target);
-		assertThat(this.estimates.of(this.target).ownTokens()).isEqualTo(700);
-		this.estimates.change(this.target, (b) -> b.held(-700));
-		assertThat(this.estimates.of(this.target).ownTokens()).isEqualTo(0);
+		assertThat(this.estimates.of(this.target).reservedTokens()).isEqualTo(700);
+		this.estimates.change(this.target, (b) -> b.addReservedTokens(-700));
+		assertThat(this.estimates.of(this.target).reservedTokens()).isEqualTo(0);
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
@@ -67,7 +67,7 @@
 
 	@Override
 	public void joined(ListedTarget target) {
-		this.beliefs.of(target).listed(target);
+		this.beliefs.of(target).recordListed(target);
 		this.beliefs.reached(target);
 		record(target, "joined at " + target.address() + " in " + target.dataCentre());
 	}
