--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -16,7 +16,7 @@
 
 	private final TargetDirectory directory;
 
-	private final TargetBeliefs beliefs;
+	private final TargetEstimates estimates;
 
 	private final AttemptSender sender;
 
@@ -32,12 +32,12 @@
 
 	private final AuditSink audit;
 
-	AttemptOutcomes(DispatchSettings settings, TargetDirectory directory, TargetBeliefs beliefs, AttemptSender sender,
+	AttemptOutcomes(DispatchSettings settings, TargetDirectory directory, TargetEstimates estimates, AttemptSender sender,
 			Offers offers, Continuation continuation, CallEnding ending, PoisonGuard poison, DispatchOutputs outputs,
 			AuditSink audit) {
 		this.settings = settings;
 		this.directory = directory;
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 		this.sender = sender;
 		this.offers = offers;
 		this.continuation = continuation;
@@ -101,7 +101,7 @@
 			this.directory.requestRejected(target.incarnation());
 		}
 		else {
-			this.beliefs.of(target).markFull(now + this.settings.comeBackMillis());
+			this.estimates.of(target).markFull(now + this.settings.comeBackMillis());
 		}
 		this.audit.record(call.event(AuditKind.RETRIED, target.id(), "not run there: status " + head.status()));
 		handleNotAccepted(call, attempt, "status " + head.status(), now);
@@ -167,12 +167,12 @@
 	}
 
 	void recordSuccess(Attempt attempt, long now) {
-		this.beliefs.of(attempt.target()).quality().recordGood(now - attempt.sentAt(), now);
+		this.estimates.of(attempt.target()).quality().recordGood(now - attempt.sentAt(), now);
 	}
 
 	private void recordFailure(ListedTarget target, String cause, long now) {
-		TargetQuality quality = this.beliefs.of(target).quality();
-		if (quality.recordBad(this.beliefs.peersBadShare(target, now), now)) {
+		TargetQuality quality = this.estimates.of(target).quality();
+		if (quality.recordBad(this.estimates.peersFailureRate(target, now), now)) {
 			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target.id(), target.id(),
 					"ejected: " + cause + ", recent bad answers " + Math.round(100 * quality.badShare(now)) + "%"));
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -41,7 +41,7 @@
 
 	private final Eligibility eligibility;
 
-	private final TargetBeliefs beliefs;
+	private final TargetEstimates estimates;
 
 	private final TargetChooser chooser;
 
@@ -51,11 +51,11 @@
 
 	private final Mechanisms mechanisms;
 
-	AttemptSender(TargetDirectory directory, Eligibility eligibility, TargetBeliefs beliefs, TargetChooser chooser,
+	AttemptSender(TargetDirectory directory, Eligibility eligibility, TargetEstimates estimates, TargetChooser chooser,
 			DispatchOutputs outputs, AuditSink audit, Mechanisms mechanisms) {
 		this.directory = directory;
 		this.eligibility = eligibility;
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 		this.chooser = chooser;
 		this.outputs = outputs;
 		this.audit = audit;
@@ -119,14 +119,14 @@
 				: engine.flatMap((e) -> chooseBackup(call, target, e, now));
 		Attempt attempt = call.begin(target, resume, backup, now);
 		this.audit.record(call.event(AuditKind.ROUTED, target.id(), "attempt " + attempt.number()
-				+ ", own requests there " + this.beliefs.of(target).inFlight() + ", all requests "
-				+ Math.round(this.beliefs.requests(target, now))
+				+ ", own requests there " + this.estimates.of(target).inFlight() + ", all requests "
+				+ Math.round(this.estimates.requests(target, now))
 				+ engine.map((e) -> ", memory " + Math.round(PERCENT * this.chooser.fullness(target, e, now)) + "%")
 					.orElse("")
 				+ ", directory of " + this.directory.size() + ", left out "
 				+ this.eligibility.countExcluded(call.scope(), now)
 				+ backup.map((b) -> ", copy grows at " + b.id()).orElse("")));
-		this.beliefs.change(target, TargetEstimate::requestStarted);
+		this.estimates.update(target, TargetEstimate::requestStarted);
 		this.eligibility.sent(target, now);
 		reserve(attempt, heldTokens(call, engine));
 		if (resume.isEmpty()) {
@@ -145,7 +145,7 @@
 	void end(DirectCall call, Attempt attempt) {
 		reserve(attempt, 0);
 		updateUnread(attempt, 0);
-		this.beliefs.change(attempt.target(), TargetEstimate::requestEnded);
+		this.estimates.update(attempt.target(), TargetEstimate::requestEnded);
 		call.end(attempt);
 	}
 
@@ -183,7 +183,7 @@
 		}
 		ListedTarget backup = attempt.backup().get();
 		this.audit.record(call.event(AuditKind.MOVED, backup.id(), "its live copy is dropped: " + cause));
-		this.beliefs.change(backup, (b) -> b.addReservedTokens(-attempt.heldTokens()));
+		this.estimates.update(backup, (b) -> b.addReservedTokens(-attempt.heldTokens()));
 		attempt.dropBackup();
 		this.outputs.releaseCopy(attempt.target(), call.request().id());
 	}
@@ -214,15 +214,15 @@
 			return;
 		}
 		attempt.setHeldTokens(tokens);
-		this.beliefs.change(attempt.target(), (b) -> b.addReservedTokens(change));
-		attempt.backup().ifPresent((t) -> this.beliefs.change(t, (b) -> b.addReservedTokens(change)));
+		this.estimates.update(attempt.target(), (b) -> b.addReservedTokens(change));
+		attempt.backup().ifPresent((t) -> this.estimates.update(t, (b) -> b.addReservedTokens(change)));
 	}
 
 	private void updateUnread(Attempt attempt, long tokens) {
 		long change = tokens - attempt.unreadTokens();
 		if (change != 0) {
 			attempt.setUnreadTokens(tokens);
-			this.beliefs.change(attempt.target(), (b) -> b.addPendingPromptTokens(change));
+			this.estimates.update(attempt.target(), (b) -> b.addPendingPromptTokens(change));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -41,7 +41,7 @@
 
 	private final TargetDirectory directory;
 
-	private final TargetBeliefs beliefs;
+	private final TargetEstimates estimates;
 
 	private final RetryWindow retries;
 
@@ -77,7 +77,7 @@
 	 * Create a dispatcher.
 	 * @param settings the timeouts and limits that apply
 	 * @param directory the listed targets
-	 * @param beliefs the recorded state of each target
+	 * @param estimates the recorded state of each target
 	 * @param eligibility the rules that decide which targets may receive requests
 	 * @param chooser the selection among eligible targets
 	 * @param turn the coordination of copies away from an engine with other processes
@@ -88,22 +88,22 @@
 	 * @param outputs the receiver of decisions to carry out
 	 * @param audit the receiver of decisions with their causes
 	 */
-	public Dispatcher(DispatchSettings settings, TargetDirectory directory, TargetBeliefs beliefs,
+	public Dispatcher(DispatchSettings settings, TargetDirectory directory, TargetEstimates estimates,
 			Eligibility eligibility, TargetChooser chooser, CopyTurn turn, EntryRanks entries, SuspectRequests suspects,
 			RetryWindow retries, Timers timers, DispatchOutputs outputs, AuditSink audit) {
 		this.settings = settings;
 		this.directory = directory;
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 		this.eligibility = eligibility;
 		this.retries = retries;
 		this.timers = timers;
 		this.outputs = outputs;
 		this.audit = audit;
-		this.sender = new AttemptSender(directory, eligibility, beliefs, chooser, outputs, audit,
+		this.sender = new AttemptSender(directory, eligibility, estimates, chooser, outputs, audit,
 				settings.mechanisms());
-		this.standbys = new StandbyCopies(directory, eligibility, beliefs, chooser, turn, timers, outputs, audit,
+		this.standbys = new StandbyCopies(directory, eligibility, estimates, chooser, turn, timers, outputs, audit,
 				settings.mechanisms().use(Mechanism.STANDBY_COPIES));
-		this.mover = new StreamMover(chooser, beliefs, this.standbys, turn, timers, outputs, audit,
+		this.mover = new StreamMover(chooser, estimates, this.standbys, turn, timers, outputs, audit,
 				new CallResumption());
 		this.ending = new CallEnding(settings, this.calls, this.sender, this.standbys, this.mover, outputs, audit);
 		this.poison = new PoisonGuard(suspects, directory, eligibility::isDraining, this.ending, timers, outputs, audit,
@@ -114,7 +114,7 @@
 		this.continuation = new Continuation(eligibility, retries, this.sender, this.standbys, this.mover, this.ending,
 				this.poison, audit, this.offers::begin, this::engine,
 				settings.mechanisms().use(Mechanism.COPIES_AT_NOTICE));
-		this.outcomes = new AttemptOutcomes(settings, directory, beliefs, this.sender, this.offers, this.continuation,
+		this.outcomes = new AttemptOutcomes(settings, directory, estimates, this.sender, this.offers, this.continuation,
 				this.ending, this.poison, outputs, audit);
 	}
 
@@ -167,7 +167,7 @@
 		}
 		DirectCall call = this.calls.get(number);
 		this.offers.connected(found.get(), now);
-		this.beliefs.reached(found.get().target());
+		this.estimates.recordReachable(found.get().target());
 		long remainingMillis = call.dueAt() - now;
 		if (remainingMillis <= 0) {
 			return OptionalLong.empty();
@@ -186,7 +186,7 @@
 		}
 		found.get().markSent(now);
 		call.recordArrival();
-		this.beliefs.of(target).quality().recordSent(now);
+		this.estimates.of(target).quality().recordSent(now);
 		if (call.isSuccessor(found.get())) {
 			long firstEventDueAt = now + Continuation.FIRST_EVENT_TIMEOUT_MILLIS;
 			this.timers.schedule(firstEventDueAt, (t) -> this.continuation.handleFirstEventTimeout(call, found.get(), t));
@@ -215,9 +215,9 @@
 		DirectCall call = this.calls.get(number);
 		ListedTarget target = found.get().target();
 		if (this.directory.isAvailable(target)) {
-			this.beliefs.of(target).quality().recordUnreachable(now);
+			this.estimates.of(target).quality().recordUnreachable(now);
 			if (fault == ConnectFault.REFUSED) {
-				this.beliefs.refused(target);
+				this.estimates.recordRefusedConnection(target);
 				this.poison.refused(target, now);
 			}
 		}
@@ -244,7 +244,7 @@
 			return false;
 		}
 		ListedTarget target = found.get().target();
-		head.load().ifPresent((l) -> this.beliefs.of(target).recordLoad(l, now));
+		head.load().ifPresent((l) -> this.estimates.of(target).recordLoad(l, now));
 		head.coldMillis().ifPresent((c) -> this.eligibility.recordCold(target, c, now));
 		if (head.speaksForTarget(this.calls.get(number).request().id()) && this.directory.isCurrentIncarnation(target)) {
 			this.eligibility.told(target, head.needs(), found.get().sentAt(), now);
@@ -445,7 +445,7 @@
 			return;
 		}
 		this.standbys.leaving(target, now);
-		this.beliefs.of(target).markDraining(now);
+		this.estimates.of(target).markDraining(now);
 		for (DirectCall call : List.copyOf(this.calls.values())) {
 			if (call.attempt().filter((a) -> a.isAnswering() && a.target().isSameIncarnation(target)).isPresent()) {
 				this.continuation.moveFromEngine(call, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -30,7 +30,7 @@
 
 	private final TargetDirectory directory;
 
-	private final TargetBeliefs beliefs;
+	private final TargetEstimates estimates;
 
 	private final ColdTargets cold;
 
@@ -41,15 +41,15 @@
 	/**
 	 * Create the rules.
 	 * @param directory the listed targets
-	 * @param beliefs the recorded state of each target
+	 * @param estimates the recorded state of each target
 	 * @param cold the rate limits of cold targets
 	 * @param backpressure the back-pressure signals of targets
 	 * @param regions the region of each data centre
 	 */
-	public Eligibility(TargetDirectory directory, TargetBeliefs beliefs, ColdTargets cold, TargetBackpressure backpressure,
+	public Eligibility(TargetDirectory directory, TargetEstimates estimates, ColdTargets cold, TargetBackpressure backpressure,
 			Map<String, String> regions) {
 		this.directory = directory;
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 		this.cold = cold;
 		this.backpressure = backpressure;
 		this.regions = Map.copyOf(regions);
@@ -86,7 +86,7 @@
 	 * @return {@code true} if copies may be placed there
 	 */
 	public boolean isSound(ListedTarget target, long now) {
-		return acceptsNew(target) && !this.beliefs.isDoubted(target, now);
+		return acceptsNew(target) && !this.estimates.isUnreachable(target, now);
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
@@ -17,7 +17,7 @@
 
 	private final long noticedAt;
 
-	private final TargetBeliefs estimates;
+	private final TargetEstimates estimates;
 
 	private final List<DirectCall> waiting = new ArrayList<>();
 
@@ -35,7 +35,7 @@
 	 * clock
 	 * @param estimates the recorded state of all targets
 	 */
-	MoveQueue(ListedTarget source, long noticedAt, TargetBeliefs estimates) {
+	MoveQueue(ListedTarget source, long noticedAt, TargetEstimates estimates) {
 		this.source = source;
 		this.noticedAt = noticedAt;
 		this.estimates = estimates;
@@ -92,11 +92,11 @@
 		endActiveCopy();
 		this.active = Optional.of(call);
 		this.activeEngines = List.of(this.source, call.copying().get().destination());
-		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.addCopies(1)));
+		this.activeEngines.forEach((e) -> this.estimates.update(e, (b) -> b.addCopies(1)));
 	}
 
 	void endActiveCopy() {
-		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.addCopies(-1)));
+		this.activeEngines.forEach((e) -> this.estimates.update(e, (b) -> b.addCopies(-1)));
 		this.activeEngines = List.of();
 		this.active = Optional.empty();
 	}
@@ -137,7 +137,7 @@
 		Copying copying = call.copying().get();
 		if (copying.isCounted() != isToMove) {
 			copying.counted(isToMove);
-			this.estimates.change(this.source, (b) -> b.addPendingMoves(isToMove ? 1 : -1));
+			this.estimates.update(this.source, (b) -> b.addPendingMoves(isToMove ? 1 : -1));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -58,7 +58,7 @@
 
 	private final Eligibility eligibility;
 
-	private final TargetBeliefs estimates;
+	private final TargetEstimates estimates;
 
 	private final TargetChooser chooser;
 
@@ -80,7 +80,7 @@
 	/** End of the time during which links are reserved for moves, by data centre. */
 	private final Map<String, Long> movesOnlyUntil = new HashMap<>();
 
-	StandbyCopies(TargetDirectory directory, Eligibility eligibility, TargetBeliefs estimates, TargetChooser chooser,
+	StandbyCopies(TargetDirectory directory, Eligibility eligibility, TargetEstimates estimates, TargetChooser chooser,
 			CopyTurn turn, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
 		this.directory = directory;
 		this.eligibility = eligibility;
@@ -166,7 +166,7 @@
 	Optional<Standby> take(DirectCall call) {
 		Optional<Standby> standby = call.standby();
 		standby.ifPresent((s) -> {
-			this.estimates.change(s.destination(), (b) -> b.addReservedTokens(-s.promisedTokens()));
+			this.estimates.update(s.destination(), (b) -> b.addReservedTokens(-s.promisedTokens()));
 			call.standby(Optional.empty());
 		});
 		endActiveCopy(call);
@@ -176,7 +176,7 @@
 	private void endActiveCopy(DirectCall call) {
 		if (this.activeCall.filter((c) -> c == call).isPresent()) {
 			this.activeCall = Optional.empty();
-			this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.addCopies(-1)));
+			this.activeEngines.forEach((e) -> this.estimates.update(e, (b) -> b.addCopies(-1)));
 			this.activeEngines = List.of();
 		}
 	}
@@ -237,7 +237,7 @@
 	private void order(DirectCall call, ListedTarget source, ListedTarget destination) {
 		this.activeCall = Optional.of(call);
 		this.activeEngines = List.of(source, destination);
-		this.activeEngines.forEach((e) -> this.estimates.change(e, (b) -> b.addCopies(1)));
+		this.activeEngines.forEach((e) -> this.estimates.update(e, (b) -> b.addCopies(1)));
 		this.outputs.copy(call.number(), new CopyOrder(call.request().id(), source, destination, false));
 	}
 
@@ -252,7 +252,7 @@
 
 	private void startCopy(DirectCall call, Attempt attempt, ListedTarget destination) {
 		long tokens = attempt.heldTokens();
-		this.estimates.change(destination, (b) -> b.addReservedTokens(tokens));
+		this.estimates.update(destination, (b) -> b.addReservedTokens(tokens));
 		call.standby(Optional.of(new Standby(attempt.target(), destination, tokens)));
 		record(call, destination, "standby copy started");
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -61,7 +61,7 @@
 
 	private final TargetChooser chooser;
 
-	private final TargetBeliefs estimates;
+	private final TargetEstimates estimates;
 
 	private final StandbyCopies standbys;
 
@@ -77,7 +77,7 @@
 
 	private final Map<TargetIncarnation, MoveQueue> queues = new HashMap<>();
 
-	StreamMover(TargetChooser chooser, TargetBeliefs estimates, StandbyCopies standbys, CopyTurn turn, Timers timers,
+	StreamMover(TargetChooser chooser, TargetEstimates estimates, StandbyCopies standbys, CopyTurn turn, Timers timers,
 			DispatchOutputs outputs, AuditSink audit, Resumption resumption) {
 		this.chooser = chooser;
 		this.estimates = estimates;
@@ -240,7 +240,7 @@
 		}
 		copying.to(destination.get(), tokens);
 		queue.startCopy(call);
-		this.estimates.change(destination.get(), (b) -> b.addReservedTokens(tokens));
+		this.estimates.update(destination.get(), (b) -> b.addReservedTokens(tokens));
 		copying.enter(CopyPhase.AHEAD);
 		sendCopyOrder(call, copying, now);
 	}
@@ -396,7 +396,7 @@
 	private void releaseReservation(Copying copying) {
 		long tokens = copying.promisedTokens();
 		if (tokens > 0) {
-			this.estimates.change(copying.destination(), (b) -> b.addReservedTokens(-tokens));
+			this.estimates.update(copying.destination(), (b) -> b.addReservedTokens(-tokens));
 			copying.to(copying.destination(), 0);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
@@ -103,7 +103,7 @@
 
 	private final Eligibility eligibility;
 
-	private final TargetBeliefs estimates;
+	private final TargetEstimates estimates;
 
 	private final String dataCentre;
 
@@ -121,7 +121,7 @@
 	 * @param random the source of jitter
 	 * @param mechanisms the optional mechanisms that are enabled
 	 */
-	public TargetChooser(Eligibility eligibility, TargetBeliefs estimates, String dataCentre, RandomGenerator random,
+	public TargetChooser(Eligibility eligibility, TargetEstimates estimates, String dataCentre, RandomGenerator random,
 			Mechanisms mechanisms) {
 		this.eligibility = eligibility;
 		this.estimates = estimates;
@@ -260,7 +260,7 @@
 	 * @return the fraction in use or reserved; above 1 if memory is overcommitted
 	 */
 	public double fullness(ListedTarget target, EngineSpec engine, long now) {
-		return this.estimates.heldTokens(target, this.meanTokens, now) / engine.memoryTokens();
+		return this.estimates.reservedTokens(target, this.meanTokens, now) / engine.memoryTokens();
 	}
 
 	private List<ListedTarget> candidates(Scope scope, long now) {
@@ -299,8 +299,8 @@
 	private double engineScore(ListedTarget target, EngineSpec engine, long tokens, String from, double remotePenalty,
 			long now) {
 		TargetEstimate estimate = this.estimates.of(target);
-		double score = (this.estimates.heldTokens(target, this.meanTokens, now) + tokens) / engine.memoryTokens();
-		score += this.estimates.unreadTokens(target) / THOUSAND * UNREAD_KILOTOKEN_PENALTY;
+		double score = (this.estimates.reservedTokens(target, this.meanTokens, now) + tokens) / engine.memoryTokens();
+		score += this.estimates.pendingPromptTokens(target) / THOUSAND * UNREAD_KILOTOKEN_PENALTY;
 		score += estimate.waiting(now) * QUEUED_REQUEST_PENALTY + estimate.quality().badShare(now) + jitter();
 		if (estimate.isFull(now)) {
 			score += FULL_PENALTY;
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetBeliefs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetEstimates.java
@@ -21,7 +21,7 @@
  *
  * @since 0.2
  */
-public final class TargetBeliefs {
+public final class TargetEstimates {
 
 	/** Lower bound of the random factor of a backoff; the upper bound is one more. */
 	private static final double MIN_BACKOFF_FACTOR = 0.5;
@@ -44,7 +44,7 @@
 	 * none is known
 	 * @param random the source of the backoff spread between processes
 	 */
-	public TargetBeliefs(Function<TargetIncarnation, Optional<WorkAtTarget>> others, RandomGenerator random) {
+	public TargetEstimates(Function<TargetIncarnation, Optional<WorkAtTarget>> others, RandomGenerator random) {
 		this.others = others;
 		this.random = random;
 	}
@@ -63,7 +63,7 @@
 	 * earlier one.
 	 * @param listener the listener to notify
 	 */
-	public void onDoubt(Consumer<ListedTarget> listener) {
+	public void onUnreachable(Consumer<ListedTarget> listener) {
 		this.unreachableListener = listener;
 	}
 
@@ -71,7 +71,7 @@
 	 * Record that a target refused a connection.
 	 * @param target the target that was connected to
 	 */
-	public void refused(ListedTarget target) {
+	public void recordRefusedConnection(ListedTarget target) {
 		of(target).connectionRefused();
 		this.changeListener.changed(target, Change.AWAITED);
 	}
@@ -80,7 +80,7 @@
 	 * Record that a target announced its draining to this process.
 	 * @param target the draining target
 	 */
-	public void saidLeaving(ListedTarget target) {
+	public void recordAnnouncedDraining(ListedTarget target) {
 		of(target).recordAnnouncedDraining();
 		this.changeListener.changed(target, Change.LEAVING);
 	}
@@ -90,7 +90,7 @@
 	 * anew, and end any suspicion.
 	 * @param target the reachable target
 	 */
-	public void reached(ListedTarget target) {
+	public void recordReachable(ListedTarget target) {
 		TargetEstimate estimate = of(target);
 		estimate.connected();
 		estimate.unreachableDetector().reset(refusalsOfAllEntries(estimate));
@@ -103,7 +103,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return {@code true} if the target should not receive requests
 	 */
-	public boolean isDoubted(ListedTarget target, long now) {
+	public boolean isUnreachable(ListedTarget target, long now) {
 		TargetEstimate estimate = of(target);
 		if (estimate.unreachableDetector()
 			.observe(refusalsOfAllEntries(estimate), MIN_BACKOFF_FACTOR + this.random.nextDouble(), now)) {
@@ -117,7 +117,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the number of targets
 	 */
-	public long doubted(long now) {
+	public long countUnreachable(long now) {
 		return this.byIncarnation.values()
 			.stream()
 			.filter((b) -> !b.isRemoved() && b.unreachableDetector().isUnreachable(now))
@@ -134,7 +134,7 @@
 	 * @param target the target to update
 	 * @param change the update
 	 */
-	public void change(ListedTarget target, Consumer<TargetEstimate> change) {
+	public void update(ListedTarget target, Consumer<TargetEstimate> change) {
 		TargetEstimate estimate = this.byIncarnation.get(target.incarnation());
 		if (estimate == null) {
 			return;
@@ -159,7 +159,7 @@
 	 * Return this process's work at all targets, for gossip updates to other entries.
 	 * @return the work per incarnation, without targets that have nothing to report
 	 */
-	public List<WorkAtTarget> ownWork() {
+	public List<WorkAtTarget> localWork() {
 		return this.byIncarnation.values()
 			.stream()
 			.filter((b) -> b.inFlight() > 0 || b.reservedTokens() > 0 || hasSignalsToReport(b))
@@ -193,7 +193,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the number of tokens
 	 */
-	public double heldTokens(ListedTarget target, double tokensOfOthers, long now) {
+	public double reservedTokens(ListedTarget target, double tokensOfOthers, long now) {
 		TargetEstimate estimate = of(target);
 		return estimate.reservedTokens() + this.others.apply(target.incarnation())
 			.map((w) -> (double) w.reservedTokens())
@@ -205,7 +205,7 @@
 	 * @param target the engine to look up
 	 * @return the number of tokens
 	 */
-	public long unreadTokens(ListedTarget target) {
+	public long pendingPromptTokens(ListedTarget target) {
 		return of(target).pendingPromptTokens() + this.others.apply(target.incarnation()).map(WorkAtTarget::pendingPromptTokens).orElse(0L);
 	}
 
@@ -232,7 +232,7 @@
 	 * there.
 	 * @param target the removed target
 	 */
-	public void forget(ListedTarget target) {
+	public void remove(ListedTarget target) {
 		TargetEstimate estimate = this.byIncarnation.get(target.incarnation());
 		if (estimate != null) {
 			estimate.markRemoved();
@@ -247,7 +247,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the mean share, from 0 to 1; 0 without other targets
 	 */
-	public double peersBadShare(ListedTarget target, long now) {
+	public double peersFailureRate(ListedTarget target, long now) {
 		return this.byIncarnation.values()
 			.stream()
 			.filter((b) -> b.target().service().equals(target.service()) && !b.target().id().equals(target.id()))
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -71,7 +71,7 @@
 
 	final Timers timers = new Timers();
 
-	final TargetBeliefs beliefs = new TargetBeliefs(this::findWorkOfOthers, new SplittableRandom(3));
+	final TargetEstimates estimates = new TargetEstimates(this::findWorkOfOthers, new SplittableRandom(3));
 
 	final Evacuations evacuations = new Evacuations(new EvacuationForwarder());
 
@@ -101,7 +101,7 @@
 
 	final TargetBackpressure backpressure = new TargetBackpressure(this.limits, this.needsToTell::add, (e) -> this.audit.add(e));
 
-	final Eligibility eligibility = new Eligibility(this.directory, this.beliefs, this.cold, this.backpressure,
+	final Eligibility eligibility = new Eligibility(this.directory, this.estimates, this.cold, this.backpressure,
 			Map.of("dc", "north", "dc2", "north", "dc3", "south"));
 
 	/** The allowed regions of requests that are opened from now on. */
@@ -139,10 +139,10 @@
 	DispatchHarness(double retryRatio, double retryExtra, long seed, Mechanisms mechanisms, PoisonSettings poison) {
 		this.suspects = new SuspectRequests(poison, new SuspicionRecorder());
 		SplittableRandom random = new SplittableRandom(seed);
-		TargetChooser chooser = new TargetChooser(this.eligibility, this.beliefs, "dc", random, mechanisms);
+		TargetChooser chooser = new TargetChooser(this.eligibility, this.estimates, "dc", random, mechanisms);
 		RetryWindow retries = new RetryWindow(10_000, retryRatio, retryExtra, retryExtra,
 				(s, w, t) -> Optional.empty());
-		this.dispatcher = new Dispatcher(DispatchSettings.defaults(mechanisms), this.directory, this.beliefs,
+		this.dispatcher = new Dispatcher(DispatchSettings.defaults(mechanisms), this.directory, this.estimates,
 				this.eligibility, chooser, new FixedCopyTurn(), new FixedRanks(), this.suspects, retries, this.timers,
 				this, this.audit::add);
 		EngineSpec engine = new EngineSpec(64, 34_000, 18_432, 2_700, 4, true, true, 2_000);
@@ -448,7 +448,7 @@
 
 		@Override
 		public void joined(ListedTarget target) {
-			DispatchHarness.this.beliefs.of(target).recordListed(target);
+			DispatchHarness.this.estimates.of(target).recordListed(target);
 		}
 
 		@Override
@@ -459,7 +459,7 @@
 		@Override
 		public void gone(ListedTarget target) {
 			DispatchHarness.this.dispatcher.gone(target, DispatchHarness.this.now);
-			DispatchHarness.this.beliefs.forget(target);
+			DispatchHarness.this.estimates.remove(target);
 			DispatchHarness.this.cold.forget(target);
 			DispatchHarness.this.backpressure.recordUnlisted(target, DispatchHarness.this.now);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
@@ -376,7 +376,7 @@
 
 		// Refused connections are reported to other entries, but are no work.
 		private List<WorkAtTarget> workHeld() {
-			return this.harness.beliefs.ownWork()
+			return this.harness.estimates.localWork()
 				.stream()
 				.filter((w) -> !w.equals(new WorkAtTarget(w.target(), 0, 0, 0, 0, false, w.refused(), false)))
 				.toList();
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
@@ -115,7 +115,7 @@
 		Map<String, WorkAtTarget> all = new HashMap<>();
 		for (DispatchHarness entry : this.entries) {
 			Map<String, WorkAtTarget> own = work.computeIfAbsent(entry, (e) -> new HashMap<>());
-			entry.beliefs.ownWork().forEach((w) -> {
+			entry.estimates.localWork().forEach((w) -> {
 				own.put(w.target().id(), w);
 				all.merge(w.target().id(), w, WorkAtTarget::plus);
 			});
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedRequestTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedRequestTests.java
@@ -139,7 +139,7 @@
 		this.harness.breakOff(sent);
 		this.harness.dispatcher.connectFailed(2, 1, ConnectFault.REFUSED, "refused", this.harness.now);
 		assertThat(this.harness.answers(2)).containsExactly("refused 503");
-		assertThat(this.harness.beliefs.of(target).inFlight()).isEqualTo(0);
+		assertThat(this.harness.estimates.of(target).inFlight()).isEqualTo(0);
 	}
 
 	@Test
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
@@ -30,20 +30,20 @@
 		ListedTarget former = this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1);
 		this.harness.arrive();
-		this.harness.beliefs.refused(former);
-		this.harness.beliefs.saidLeaving(former);
+		this.harness.estimates.recordRefusedConnection(former);
+		this.harness.estimates.recordAnnouncedDraining(former);
 		this.harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 3, 9_000, 0, 0, true, 4, true));
 		ListedTarget started = this.harness.startAgain(former);
-		TargetEstimate estimate = this.harness.beliefs.of(started);
+		TargetEstimate estimate = this.harness.estimates.of(started);
 		assertThat(estimate.inFlight()).isEqualTo(0);
 		assertThat(estimate.reservedTokens()).isEqualTo(0);
 		assertThat(estimate.pendingPromptTokens()).isEqualTo(0);
 		assertThat(estimate.refused()).isEqualTo(0);
 		assertThat(estimate.hasAnnouncedDraining()).isFalse();
-		assertThat(this.harness.beliefs.heldTokens(started, 0, this.harness.now)).isEqualTo(0);
-		assertThat(this.harness.beliefs.isCopying(started)).isFalse();
-		assertThat(this.harness.beliefs.isDoubted(started, this.harness.now)).isFalse();
-		assertThat(this.harness.beliefs.ownWork()).isEmpty();
+		assertThat(this.harness.estimates.reservedTokens(started, 0, this.harness.now)).isEqualTo(0);
+		assertThat(this.harness.estimates.isCopying(started)).isFalse();
+		assertThat(this.harness.estimates.isUnreachable(started, this.harness.now)).isFalse();
+		assertThat(this.harness.estimates.localWork()).isEmpty();
 	}
 
 	@Test
@@ -131,7 +131,7 @@
 		Sent first = streamWithLiveCopy();
 		ListedTarget holder = other(first);
 		ListedTarget started = this.harness.startAgain(holder);
-		assertThat(this.harness.beliefs.of(started).reservedTokens()).isEqualTo(0);
+		assertThat(this.harness.estimates.of(started).reservedTokens()).isEqualTo(0);
 		assertThat(this.harness.event(first, 1)).isTrue();
 		this.harness.breakOff(first);
 		assertThat(this.harness.sent).hasSize(1);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
@@ -230,7 +230,7 @@
 		this.harness.now += 300;
 		this.harness.copied(Outcome.COPIED, "h1");
 		this.harness.join(DispatchHarness.ENGINES, "c");
-		this.harness.beliefs.change(destination, (b) -> b.addReservedTokens(6_000));
+		this.harness.estimates.update(destination, (b) -> b.addReservedTokens(6_000));
 		this.harness.copied(Outcome.UNDER_WAY, "");
 		this.harness.passTime(100);
 		assertThat(this.harness.copies).hasSize(3);
@@ -257,8 +257,8 @@
 		Sent first = streamWithoutLiveCopy();
 		ListedTarget free = this.harness.join(DispatchHarness.ENGINES, "c");
 		ListedTarget busy = this.harness.directory.find("b").get();
-		this.harness.beliefs.change(free, (b) -> b.addReservedTokens(5_000));
-		this.harness.beliefs.of(busy).addCopies(1);
+		this.harness.estimates.update(free, (b) -> b.addReservedTokens(5_000));
+		this.harness.estimates.of(busy).addCopies(1);
 		this.harness.leave(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies.get(0).destination()).isEqualTo(free);
@@ -271,7 +271,7 @@
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		ListedTarget destination = this.harness.copies.get(0).destination();
 		this.harness.copied(Outcome.NO_ANSWER, "");
-		assertThat(this.harness.beliefs.of(destination).isFull(this.harness.now)).isFalse();
+		assertThat(this.harness.estimates.of(destination).isFull(this.harness.now)).isFalse();
 	}
 
 	@Test
@@ -499,7 +499,7 @@
 	void callerDisconnectEndsStandbyCopyInProgress() {
 		Sent sent = streamWithStandbyCopyUnderWay();
 		this.harness.dispatcher.callerLeft(1, this.harness.now);
-		assertThat(this.harness.beliefs.of(sent.target()).isCopying()).isFalse();
+		assertThat(this.harness.estimates.of(sent.target()).isCopying()).isFalse();
 		assertThat(this.harness.lastAudit().target()).isEqualTo(sent.target().id());
 	}
 
@@ -508,7 +508,7 @@
 		Sent sent = streamWithStandbyCopyUnderWay();
 		this.harness.event(sent, 5);
 		assertThat(this.harness.answers(1)).contains("cut");
-		assertThat(this.harness.beliefs.of(sent.target()).isCopying()).isFalse();
+		assertThat(this.harness.estimates.of(sent.target()).isCopying()).isFalse();
 		assertThat(this.harness.lastAudit().target()).isEqualTo(sent.target().id());
 	}
 
@@ -520,7 +520,7 @@
 		this.harness.event(sent, 0);
 		this.harness.passTime(800);
 		assertThat(this.harness.copies).hasSize(1);
-		assertThat(this.harness.beliefs.of(sent.target()).isCopying()).isTrue();
+		assertThat(this.harness.estimates.of(sent.target()).isCopying()).isTrue();
 		return sent;
 	}
 
@@ -570,7 +570,7 @@
 		this.harness.dispatcher.callerLeft(1, this.harness.now);
 		this.harness.copied(Outcome.COPIED, "h1");
 		assertThat(this.harness.released).contains(first.target().id() + "/h1");
-		assertThat(this.harness.beliefs.ownWork()).isEmpty();
+		assertThat(this.harness.estimates.localWork()).isEmpty();
 	}
 
 	// The prompt is so large that no engine has memory for a live copy beside it.
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
@@ -9,13 +9,13 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for the memory that {@link TargetBeliefs} reserve for copies at a target.
+ * Tests for the memory that {@link TargetEstimates} reserve for copies at a target.
  */
 class TargetBeliefsMemoryTests {
 
 	private final ListedTarget target = new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, false);
 
-	private final TargetBeliefs estimates = new TargetBeliefs((incarnation) -> Optional.empty(), new SplittableRandom(1));
+	private final TargetEstimates estimates = new TargetEstimates((incarnation) -> Optional.empty(), new SplittableRandom(1));
 
 	/**
 	 * Guards against a negative memory estimate of an engine that is removed and listed
@@ -24,10 +24,10 @@
 	@Test
 	void releasedCopyMemoryIsSubtractedFromTheStateThatReservedIt() {
 		this.estimates.of(this.target);
-		this.estimates.change(this.target, (b) -> b.addReservedTokens(700));
-		this.estimates.forget(this.target);
+		this.estimates.update(this.target, (b) -> b.addReservedTokens(700));
+		this.estimates.remove(this.target);
 		assertThat(this.estimates.of(this.target).reservedTokens()).isEqualTo(700);
-		this.estimates.change(this.target, (b) -> b.addReservedTokens(-700));
+		this.estimates.update(this.target, (b) -> b.addReservedTokens(-700));
 		assertThat(this.estimates.of(this.target).reservedTokens()).isEqualTo(0);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -45,7 +45,7 @@
 
 	private Map<String, WorkAtTarget> work = Map.of();
 
-	private final TargetBeliefs estimates = new TargetBeliefs((incarnation) -> Optional.ofNullable(this.work.get(incarnation.id())),
+	private final TargetEstimates estimates = new TargetEstimates((incarnation) -> Optional.ofNullable(this.work.get(incarnation.id())),
 			new SplittableRandom(2));
 
 	private final TargetChooser chooser = new TargetChooser(new Eligibility(this.directory, this.estimates,
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/UnreachableDetectorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/UnreachableDetectorTests.java
@@ -74,7 +74,7 @@
 			this.harness.open(call, RequestKind.UNSAFE, 1);
 			assertThat(this.harness.sent.get(this.harness.sent.size() - 1).target().id()).isEqualTo("b");
 		}
-		assertThat(this.harness.beliefs.isDoubted(dead, this.harness.now)).isTrue();
+		assertThat(this.harness.estimates.isUnreachable(dead, this.harness.now)).isTrue();
 	}
 
 	@Test
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -25,8 +25,8 @@
 import dev.laneworks.core.dispatch.Dispatcher;
 import dev.laneworks.core.dispatch.Eligibility;
 import dev.laneworks.core.dispatch.RetryWindow;
-import dev.laneworks.core.dispatch.TargetBeliefs;
 import dev.laneworks.core.dispatch.TargetChooser;
+import dev.laneworks.core.dispatch.TargetEstimates;
 import dev.laneworks.core.gossip.RetryBudgetUsage;
 import dev.laneworks.core.gossip.WorkAtTarget;
 import dev.laneworks.core.mechanism.Mechanism;
@@ -109,7 +109,7 @@
 
 	private final TargetDirectory directory;
 
-	private final TargetBeliefs beliefs;
+	private final TargetEstimates estimates;
 
 	private final RetryWindow retries;
 
@@ -175,9 +175,9 @@
 		this.activeSettings = settings;
 		this.shutdown = new GracefulShutdown(settings.takeAllMillis(), settings.graceMillis() - EXIT_MARGIN_MILLIS);
 		SplittableRandom random = new SplittableRandom(ThreadLocalRandom.current().nextLong());
-		this.beliefs = new TargetBeliefs(this::peerWork, random);
-		this.beliefs.onDoubt((t) -> this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, t.id(), t.id(),
-				"suspected unreachable: connections refused, own " + this.beliefs.of(t).refused())));
+		this.estimates = new TargetEstimates(this::peerWork, random);
+		this.estimates.onUnreachable((t) -> this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, t.id(), t.id(),
+				"suspected unreachable: connections refused, own " + this.estimates.of(t).refused())));
 		XnioIoThread thread = this.io.worker().getIoThread();
 		Timers timers = new Timers();
 		this.loop = new EventLoop(thread, timers, clock);
@@ -187,23 +187,23 @@
 				new CallTimes(this.metrics));
 		this.retries = new RetryWindow(settings.retryWindowMillis(), settings.retryRatio(), settings.ownRetryExtra(1),
 				settings.retryExtra(), this::peerSpending);
-		this.peers = new PeerEntries(settings, this.beliefs, this.retries, this.loop, random, this.audit);
+		this.peers = new PeerEntries(settings, this.estimates, this.retries, this.loop, random, this.audit);
 		this.cold = new ColdTargets(settings.coldBound(), this.peers, this::coldPerSecond, this.audit);
 		this.suspects = new SuspectTracking(this.peers, this.loop, random, this.audit);
 		TargetRateLimits limits = new TargetRateLimits(
 				new ProportionalShare(() -> this.recentEntryCount, this::ownRequests, this::peerRequests),
 				this.peers::phase);
 		this.backpressure = new TargetBackpressure(limits, this.peers::announceNeeds, this.audit);
-		MembershipEvents members = new MembershipEvents(this.beliefs, this.cold, this.backpressure, this.loop, this.audit);
+		MembershipEvents members = new MembershipEvents(this.estimates, this.cold, this.backpressure, this.loop, this.audit);
 		this.store = new StoreView(adapter.source(), settings.follow(), members, members, this::use,
 				this.peers.reading(), timers, random, new DefaultBackgroundWork(thread), this.audit);
 		this.directory = this.store.directory();
-		Eligibility eligibility = new Eligibility(this.directory, this.beliefs, this.cold, this.backpressure,
+		Eligibility eligibility = new Eligibility(this.directory, this.estimates, this.cold, this.backpressure,
 				settings.regions());
 		this.peers.shareNeeds(this.backpressure, this.directory::isCurrentIncarnation);
-		TargetChooser chooser = new TargetChooser(eligibility, this.beliefs, settings.dataCentre(), random,
+		TargetChooser chooser = new TargetChooser(eligibility, this.estimates, settings.dataCentre(), random,
 				settings.mechanisms());
-		this.dispatcher = new Dispatcher(DispatchSettings.defaults(settings.mechanisms()), this.directory, this.beliefs,
+		this.dispatcher = new Dispatcher(DispatchSettings.defaults(settings.mechanisms()), this.directory, this.estimates,
 				eligibility, chooser, this.peers, this.peers, this.suspects.requests(), this.retries, timers, calls,
 				this.audit);
 		calls.use(this.dispatcher);
@@ -211,7 +211,7 @@
 		members.use(this.dispatcher, this.store);
 		this.snapshots = new SnapshotTransfer(this.store.follower(), this.peers, this.loop, this.audit);
 		this.peers.useSnapshotTransfer(this.snapshots);
-		this.inquiry = new EngineInquiry(this.store, this.peers, this.beliefs, adapter.engines(), this.loop,
+		this.inquiry = new EngineInquiry(this.store, this.peers, this.estimates, adapter.engines(), this.loop,
 				this.audit);
 		this.peers.onStoreUpdate((n) -> this.store.follower().updateReceived(n, this.loop.now()));
 		this.resumeGate = new ResumeGate(this.store.follower()::ageMillis);
@@ -372,7 +372,7 @@
 	}
 
 	private EntryGauges collectGauges(long now) {
-		return new EntryGauges(this.beliefs.doubted(now), this.cold.count(now), this.backpressure.limitCount(),
+		return new EntryGauges(this.estimates.countUnreachable(now), this.cold.count(now), this.backpressure.limitCount(),
 				this.backpressure.backoffCount(now), this.suspects.requests().quarantined(now), this.store.evacuations().count(),
 				this.store.follower().behindMillis(now));
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
@@ -7,7 +7,7 @@
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
-import dev.laneworks.core.dispatch.TargetBeliefs;
+import dev.laneworks.core.dispatch.TargetEstimates;
 import dev.laneworks.core.inquiry.EngineAnswer;
 import dev.laneworks.core.inquiry.InquiryOutputs;
 import dev.laneworks.core.inquiry.LeavingInquiry;
@@ -21,7 +21,7 @@
 
 	private final StoreView store;
 
-	private final TargetBeliefs beliefs;
+	private final TargetEstimates estimates;
 
 	private final EngineOrders engines;
 
@@ -31,10 +31,10 @@
 
 	private final LeavingInquiry inquiry;
 
-	EngineInquiry(StoreView store, PeerEntries peers, TargetBeliefs beliefs, EngineOrders engines, EventLoop loop,
+	EngineInquiry(StoreView store, PeerEntries peers, TargetEstimates estimates, EngineOrders engines, EventLoop loop,
 			AuditSink audit) {
 		this.store = store;
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 		this.engines = engines;
 		this.loop = loop;
 		this.audit = audit;
@@ -72,13 +72,13 @@
 	public void leaves(ListedTarget engine, EngineAnswer answer, long now) {
 		this.audit.record(AuditEvent.of(AuditKind.MEMBERSHIP, engine.id(), engine.id(),
 				"reports that it is leaving in " + answer.leavesMillis().orElse(0) + " ms"));
-		this.beliefs.saidLeaving(engine);
+		this.estimates.recordAnnouncedDraining(engine);
 		this.store.directory().drainingReported(engine.incarnation());
 	}
 
 	@Override
 	public void refused(ListedTarget engine, long now) {
-		this.beliefs.refused(engine);
+		this.estimates.recordRefusedConnection(engine);
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
@@ -10,7 +10,7 @@
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.dispatch.ColdTargets;
 import dev.laneworks.core.dispatch.Dispatcher;
-import dev.laneworks.core.dispatch.TargetBeliefs;
+import dev.laneworks.core.dispatch.TargetEstimates;
 
 /**
  * Listener that passes changes of targets and evacuations of data centres to the
@@ -18,7 +18,7 @@
  */
 final class MembershipEvents implements DirectoryListener, EvacuationListener {
 
-	private final TargetBeliefs beliefs;
+	private final TargetEstimates estimates;
 
 	private final ColdTargets cold;
 
@@ -32,8 +32,8 @@
 
 	private StoreView store;
 
-	MembershipEvents(TargetBeliefs beliefs, ColdTargets cold, TargetBackpressure backpressure, EventLoop loop, AuditSink audit) {
-		this.beliefs = beliefs;
+	MembershipEvents(TargetEstimates estimates, ColdTargets cold, TargetBackpressure backpressure, EventLoop loop, AuditSink audit) {
+		this.estimates = estimates;
 		this.cold = cold;
 		this.backpressure = backpressure;
 		this.loop = loop;
@@ -67,8 +67,8 @@
 
 	@Override
 	public void joined(ListedTarget target) {
-		this.beliefs.of(target).recordListed(target);
-		this.beliefs.reached(target);
+		this.estimates.of(target).recordListed(target);
+		this.estimates.recordReachable(target);
 		record(target, "joined at " + target.address() + " in " + target.dataCentre());
 	}
 
@@ -82,7 +82,7 @@
 	public void gone(ListedTarget target) {
 		record(target, "gone");
 		this.dispatcher.gone(target, this.loop.now());
-		this.beliefs.forget(target);
+		this.estimates.remove(target);
 		this.cold.forget(target);
 		this.backpressure.recordUnlisted(target, this.loop.now());
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -18,7 +18,7 @@
 import dev.laneworks.core.dispatch.CopyTurn;
 import dev.laneworks.core.dispatch.EntryRanks;
 import dev.laneworks.core.dispatch.RetryWindow;
-import dev.laneworks.core.dispatch.TargetBeliefs;
+import dev.laneworks.core.dispatch.TargetEstimates;
 import dev.laneworks.core.follow.SharedWatch;
 import dev.laneworks.core.follow.StoreUpdate;
 import dev.laneworks.core.gossip.BackpressureUpdate;
@@ -50,7 +50,7 @@
 
 	private final String ownAddress;
 
-	private final TargetBeliefs beliefs;
+	private final TargetEstimates estimates;
 
 	private final RetryWindow retries;
 
@@ -81,11 +81,11 @@
 	/** Opened by the main thread before anything is sent on the I/O thread. */
 	private volatile NewsSocket socket;
 
-	PeerEntries(DirectSettings settings, TargetBeliefs beliefs, RetryWindow retries, EventLoop loop,
+	PeerEntries(DirectSettings settings, TargetEstimates estimates, RetryWindow retries, EventLoop loop,
 			RandomGenerator random, AuditSink audit) {
 		this.mechanisms = settings.mechanisms();
 		this.ownAddress = addressText(settings.news());
-		this.beliefs = beliefs;
+		this.estimates = estimates;
 		this.retries = retries;
 		this.loop = loop;
 		this.seeds = seeds(settings);
@@ -95,13 +95,13 @@
 				(n) -> sendStoreUpdate(this.gossip.nearAddresses(), n), (n) -> sendStoreUpdate(
 						this.gossip.topOfOtherDataCentres(SharedWatch.RECEIVERS_PER_GROUP, SharedWatch::rank), n));
 		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
-			beliefs.onChange((target, change) -> this.gossip.workChanged(target.incarnation(), reach(change), loop.now()));
+			estimates.onChange((target, change) -> this.gossip.workChanged(target.incarnation(), reach(change), loop.now()));
 		}
 	}
 
 	// Started work is announced widely: with the regular gossip interval, entries of
 	// other data centres would all select the same idle engine meanwhile.
-	private static UpdateScope reach(TargetBeliefs.Change change) {
+	private static UpdateScope reach(TargetEstimates.Change change) {
 		return switch (change) {
 			case AWAITED -> UpdateScope.INVOLVED;
 			case LEAVING -> UpdateScope.ALL;
@@ -258,7 +258,7 @@
 
 	@Override
 	public List<WorkAtTarget> localWork() {
-		return this.beliefs.ownWork();
+		return this.estimates.localWork();
 	}
 
 	@Override
