--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetEstimates.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetEstimates.java
@@ -73,7 +73,7 @@
 	 */
 	public void recordRefusedConnection(ListedTarget target) {
 		of(target).connectionRefused();
-		this.changeListener.changed(target, Change.AWAITED);
+		this.changeListener.changed(target, Change.URGENT);
 	}
 
 	/**
@@ -146,7 +146,7 @@
 		removeIfUnused(estimate);
 		boolean isAwaitedByOthers = estimate.pendingMoves() != toMove || estimate.isCopying() != wasCopying;
 		Change kind = (estimate.inFlight() > inFlight) ? Change.BEGUN : Change.OTHER;
-		this.changeListener.changed(target, isAwaitedByOthers ? Change.AWAITED : kind);
+		this.changeListener.changed(target, isAwaitedByOthers ? Change.URGENT : kind);
 	}
 
 	private void removeIfUnused(TargetEstimate estimate) {
@@ -263,7 +263,7 @@
 		BEGUN,
 
 		/** A move or copy whose links others wait for, or a refused connection. */
-		AWAITED,
+		URGENT,
 
 		/** The target announced its draining. */
 		LEAVING,
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -103,7 +103,7 @@
 	// other data centres would all select the same idle engine meanwhile.
 	private static UpdateScope reach(TargetEstimates.Change change) {
 		return switch (change) {
-			case AWAITED -> UpdateScope.INVOLVED;
+			case URGENT -> UpdateScope.INVOLVED;
 			case LEAVING -> UpdateScope.ALL;
 			case BEGUN -> UpdateScope.SAMPLE;
 			case OTHER -> UpdateScope.NEAR;
