--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBeliefsMemoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetEstimatesMemoryTests.java
@@ -11,7 +11,7 @@
 /**
  * Tests for the memory that {@link TargetEstimates} reserve for copies at a target.
  */
-class TargetBeliefsMemoryTests {
+class TargetEstimatesMemoryTests {
 
 	private final ListedTarget target = new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, false);
 
