--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -20,7 +20,7 @@
 
 	private final AttemptSender sender;
 
-	private final Offers offers;
+	private final AttemptScheduler scheduler;
 
 	private final Continuation continuation;
 
@@ -33,13 +33,13 @@
 	private final AuditSink audit;
 
 	AttemptOutcomes(DispatchSettings settings, TargetDirectory directory, TargetEstimates estimates, AttemptSender sender,
-			Offers offers, Continuation continuation, CallEnding ending, PoisonGuard poison, DispatchOutputs outputs,
+			AttemptScheduler scheduler, Continuation continuation, CallEnding ending, PoisonGuard poison, DispatchOutputs outputs,
 			AuditSink audit) {
 		this.settings = settings;
 		this.directory = directory;
 		this.estimates = estimates;
 		this.sender = sender;
-		this.offers = offers;
+		this.scheduler = scheduler;
 		this.continuation = continuation;
 		this.ending = ending;
 		this.poison = poison;
@@ -57,8 +57,8 @@
 	void handleNoResponse(DirectCall call, Attempt attempt, long now) {
 		recordFailure(attempt.target(), "no answer for " + (now - attempt.sentAt()) + " ms", now);
 		call.recordPossibleRun();
-		if (this.offers.mayTryAgain(call, attempt, now)) {
-			this.offers.tryAgain(call, attempt, "no answer from the target", now);
+		if (this.scheduler.mayRetry(call, attempt, now)) {
+			this.scheduler.retry(call, attempt, "no answer from the target", now);
 		}
 	}
 
@@ -73,8 +73,8 @@
 		call.recordPossibleRun();
 		if (head.isServerError()) {
 			recordFailure(attempt.target(), "status " + head.status(), now);
-			if (this.offers.mayTryAgain(call, attempt, now)) {
-				this.offers.tryAgain(call, attempt, "status " + head.status(), now);
+			if (this.scheduler.mayRetry(call, attempt, now)) {
+				this.scheduler.retry(call, attempt, "status " + head.status(), now);
 				return;
 			}
 		}
@@ -128,7 +128,7 @@
 		}
 		else {
 			call.tried().add(attempt.target().id());
-			this.offers.offer(call, now);
+			this.scheduler.dispatch(call, now);
 		}
 	}
 
@@ -158,8 +158,8 @@
 				|| this.continuation.resumeAtStandby(call, cause, now))) {
 			this.sender.abandon(call, attempt);
 		}
-		else if (!call.isStreaming() && this.offers.mayTryAgain(call, attempt, now)) {
-			this.offers.tryAgain(call, attempt, cause, now);
+		else if (!call.isStreaming() && this.scheduler.mayRetry(call, attempt, now)) {
+			this.scheduler.retry(call, attempt, cause, now);
 		}
 		else {
 			this.ending.lost(call, cause + " at " + target.id(), now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Offers.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -18,7 +18,7 @@
  * Dispatches the attempts of a call, one target after another, within the limits on
  * attempts and retries.
  */
-final class Offers {
+final class AttemptScheduler {
 
 	/**
 	 * Upper bound of the learned connect timeout. Equals the initial retransmission
@@ -60,7 +60,7 @@
 
 	private final boolean admissionEnabled;
 
-	Offers(DispatchSettings settings, RetryWindow retryBudget, AttemptSender sender, CallEnding ending,
+	AttemptScheduler(DispatchSettings settings, RetryWindow retryBudget, AttemptSender sender, CallEnding ending,
 			PoisonGuard poison, Timers timers, DispatchOutputs outputs, AuditSink audit,
 			Function<DirectCall, Optional<EngineSpec>> engines, EntryRanks entries, ConnectFailure connectFailure) {
 		this.settings = settings;
@@ -82,7 +82,7 @@
 
 	// Dispatches a call that no target has executed to the best target left, or refuses
 	// it.
-	void offer(DirectCall call, long now) {
+	void dispatch(DirectCall call, long now) {
 		if (this.poison.refuse(call, now)) {
 			return;
 		}
@@ -110,7 +110,7 @@
 			this.ending.refuse(call, RefusalReason.OVERLOADED, "the retry budget is exhausted", now);
 			return;
 		}
-		call.use(begin(call, target.get(), Optional.empty(), now));
+		call.use(startAttempt(call, target.get(), Optional.empty(), now));
 	}
 
 	private boolean isSubjectToAdmission(DirectCall call) {
@@ -136,18 +136,18 @@
 	}
 
 	// Records the duration of a generation that completed.
-	void ended(DirectCall call, long now) {
+	void recordCompleted(DirectCall call, long now) {
 		call.request().work().ifPresent((w) -> this.admission.recordLifetime(w, now - call.openedAt()));
 	}
 
 	// Sends a call to a target and starts the connect timeout.
-	Attempt begin(DirectCall call, ListedTarget target, Optional<ResumePoint> resume, long now) {
+	Attempt startAttempt(DirectCall call, ListedTarget target, Optional<ResumePoint> resume, long now) {
 		Attempt attempt = this.sender.send(call, target, this.engines.apply(call), resume, now);
 		this.timers.schedule(now + this.connectTimeout.timeoutMillis(), (t) -> handleConnectTimeout(call, attempt, t));
 		return attempt;
 	}
 
-	void connected(Attempt attempt, long now) {
+	void recordConnected(Attempt attempt, long now) {
 		this.connectTimeout.recordDuration(now - attempt.begunAt());
 	}
 
@@ -160,7 +160,7 @@
 
 	// Allows a retry only of a repeatable request, at another target and with enough time
 	// left for a response.
-	boolean mayTryAgain(DirectCall call, Attempt attempt, long now) {
+	boolean mayRetry(DirectCall call, Attempt attempt, long now) {
 		DirectRequest request = call.request();
 		boolean isAllowed = Verdict.MAY_HAVE_RUN.allowsAnotherAttempt(request.route().kind().isRepeatable(),
 				call.isStreaming());
@@ -171,12 +171,12 @@
 				&& this.retryBudget.tryTake(request.service(), now);
 	}
 
-	void tryAgain(DirectCall call, Attempt attempt, String cause, long now) {
+	void retry(DirectCall call, Attempt attempt, String cause, long now) {
 		this.audit.record(call.event(AuditKind.RETRIED, attempt.target().id(), cause));
 		this.sender.abandon(call, attempt);
 		call.tried().add(attempt.target().id());
 		this.sender.choose(call, this.engines.apply(call), now)
-			.ifPresentOrElse((t) -> call.use(begin(call, t, Optional.empty(), now)),
+			.ifPresentOrElse((t) -> call.use(startAttempt(call, t, Optional.empty(), now)),
 					() -> this.ending.refuse(call, RefusalReason.TARGET_LOST, cause, now));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -59,7 +59,7 @@
 
 	private final CallEnding ending;
 
-	private final Offers offers;
+	private final AttemptScheduler scheduler;
 
 	private final Continuation continuation;
 
@@ -108,13 +108,13 @@
 		this.ending = new CallEnding(settings, this.calls, this.sender, this.standbys, this.mover, outputs, audit);
 		this.poison = new PoisonGuard(suspects, directory, eligibility::isDraining, this.ending, timers, outputs, audit,
 				settings.mechanisms().use(Mechanism.REQUEST_QUARANTINE));
-		this.offers = new Offers(settings, retries, this.sender, this.ending, this.poison, timers, outputs, audit,
+		this.scheduler = new AttemptScheduler(settings, retries, this.sender, this.ending, this.poison, timers, outputs, audit,
 				this::engine, entries,
 				(c, a, t) -> connectFailed(c.number(), a.number(), ConnectFault.SILENT, "connect timeout expired", t));
 		this.continuation = new Continuation(eligibility, retries, this.sender, this.standbys, this.mover, this.ending,
-				this.poison, audit, this.offers::begin, this::engine,
+				this.poison, audit, this.scheduler::startAttempt, this::engine,
 				settings.mechanisms().use(Mechanism.COPIES_AT_NOTICE));
-		this.outcomes = new AttemptOutcomes(settings, directory, estimates, this.sender, this.offers, this.continuation,
+		this.outcomes = new AttemptOutcomes(settings, directory, estimates, this.sender, this.scheduler, this.continuation,
 				this.ending, this.poison, outputs, audit);
 	}
 
@@ -146,7 +146,7 @@
 		this.retries.recordRequest(request.service(), now);
 		this.audit.record(call.event(AuditKind.ACCEPTED, "", describe(call)));
 		this.timers.schedule(call.dueAt() + this.settings.answerSlackMillis(), (t) -> handleDeadline(call, t));
-		this.offers.offer(call, now);
+		this.scheduler.dispatch(call, now);
 	}
 
 	/**
@@ -166,7 +166,7 @@
 			return OptionalLong.empty();
 		}
 		DirectCall call = this.calls.get(number);
-		this.offers.connected(found.get(), now);
+		this.scheduler.recordConnected(found.get(), now);
 		this.estimates.recordReachable(found.get().target());
 		long remainingMillis = call.dueAt() - now;
 		if (remainingMillis <= 0) {
@@ -337,7 +337,7 @@
 			this.outcomes.handleFailure(call, found.get(), "the stream ended without an event", now);
 			return;
 		}
-		this.offers.ended(call, now);
+		this.scheduler.recordCompleted(call, now);
 		this.poison.ranWhole(call, now);
 		this.ending.finish(call, AuditKind.ANSWERED,
 				"stream up to event " + call.lastEvent() + " whole after " + (now - call.openedAt()) + " ms, attempts "
