--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -44,7 +44,7 @@
 
 	private final Function<DirectCall, Optional<EngineSpec>> engines;
 
-	private final ConnectFailure connectFailure;
+	private final ConnectFailureHandler connectFailure;
 
 	/**
 	 * Learned connect timeout. Adapts to a process that is slow to handle its connections
@@ -62,7 +62,7 @@
 
 	AttemptScheduler(DispatchSettings settings, RetryWindow retryBudget, AttemptSender sender, CallEnding ending,
 			PoisonGuard poison, Timers timers, DispatchOutputs outputs, AuditSink audit,
-			Function<DirectCall, Optional<EngineSpec>> engines, EntryRanks entries, ConnectFailure connectFailure) {
+			Function<DirectCall, Optional<EngineSpec>> engines, EntryRanks entries, ConnectFailureHandler connectFailure) {
 		this.settings = settings;
 		this.retryBudget = retryBudget;
 		this.sender = sender;
@@ -182,7 +182,7 @@
 
 	/** Handler of connections that were not established in time. */
 	@FunctionalInterface
-	interface ConnectFailure {
+	interface ConnectFailureHandler {
 
 		/**
 		 * Handle an attempt whose request was not sent.
