--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -24,7 +24,7 @@
 
 	private final Continuation continuation;
 
-	private final CallEnding ending;
+	private final CallCompletion completion;
 
 	private final PoisonGuard poison;
 
@@ -33,7 +33,7 @@
 	private final AuditSink audit;
 
 	AttemptOutcomes(DispatchSettings settings, TargetDirectory directory, TargetEstimates estimates, AttemptSender sender,
-			AttemptScheduler scheduler, Continuation continuation, CallEnding ending, PoisonGuard poison, DispatchOutputs outputs,
+			AttemptScheduler scheduler, Continuation continuation, CallCompletion completion, PoisonGuard poison, DispatchOutputs outputs,
 			AuditSink audit) {
 		this.settings = settings;
 		this.directory = directory;
@@ -41,7 +41,7 @@
 		this.sender = sender;
 		this.scheduler = scheduler;
 		this.continuation = continuation;
-		this.ending = ending;
+		this.completion = completion;
 		this.poison = poison;
 		this.outputs = outputs;
 		this.audit = audit;
@@ -82,7 +82,7 @@
 			recordSuccess(attempt, now);
 			this.poison.ranWhole(call, now);
 		}
-		this.ending.finish(call, AuditKind.ANSWERED,
+		this.completion.finish(call, AuditKind.ANSWERED,
 				"status " + head.status() + " after " + (now - call.openedAt()) + " ms", now);
 		this.outputs.deliver(call.number(), attempt.number());
 	}
@@ -124,7 +124,7 @@
 			return;
 		}
 		else if (call.isStreaming() || attempt.resume().isPresent()) {
-			this.ending.lost(call, "the generation could not resume at " + attempt.target().id() + ": " + cause, now);
+			this.completion.endAsLost(call, "the generation could not resume at " + attempt.target().id() + ": " + cause, now);
 		}
 		else {
 			call.tried().add(attempt.target().id());
@@ -162,7 +162,7 @@
 			this.scheduler.retry(call, attempt, cause, now);
 		}
 		else {
-			this.ending.lost(call, cause + " at " + target.id(), now);
+			this.completion.endAsLost(call, cause + " at " + target.id(), now);
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -32,7 +32,7 @@
 
 	private final AttemptSender sender;
 
-	private final CallEnding ending;
+	private final CallCompletion completion;
 
 	private final PoisonGuard poison;
 
@@ -60,13 +60,13 @@
 
 	private final boolean admissionEnabled;
 
-	AttemptScheduler(DispatchSettings settings, RetryWindow retryBudget, AttemptSender sender, CallEnding ending,
+	AttemptScheduler(DispatchSettings settings, RetryWindow retryBudget, AttemptSender sender, CallCompletion completion,
 			PoisonGuard poison, Timers timers, DispatchOutputs outputs, AuditSink audit,
 			Function<DirectCall, Optional<EngineSpec>> engines, EntryRanks entries, ConnectFailureHandler connectFailure) {
 		this.settings = settings;
 		this.retryBudget = retryBudget;
 		this.sender = sender;
-		this.ending = ending;
+		this.completion = completion;
 		this.poison = poison;
 		this.timers = timers;
 		this.outputs = outputs;
@@ -87,12 +87,12 @@
 			return;
 		}
 		if (call.arrivals() >= this.settings.maxAttempts() || call.attempts() >= this.settings.maxConnections()) {
-			this.ending.refuse(call, RefusalReason.OVERLOADED, "no target accepted the request", now);
+			this.completion.refuse(call, RefusalReason.OVERLOADED, "no target accepted the request", now);
 			return;
 		}
 		Optional<ListedTarget> target = this.sender.choose(call, this.engines.apply(call), now);
 		if (target.isEmpty()) {
-			this.ending.refuse(call, RefusalReason.NO_TARGET, this.sender.shortage(call, now), now);
+			this.completion.refuse(call, RefusalReason.NO_TARGET, this.sender.shortage(call, now), now);
 			return;
 		}
 		Optional<EngineSpec> engine = this.engines.apply(call).filter((e) -> isSubjectToAdmission(call));
@@ -101,13 +101,13 @@
 			OptionalLong wait = memoryWaitMillis(call, target.get(), engine.get(), now);
 			if (wait.isPresent()) {
 				long retryAfter = retryAfterMillis(call, wait.getAsLong(), engine.get(), now);
-				this.ending.refuse(call, RefusalReason.OVERLOADED,
+				this.completion.refuse(call, RefusalReason.OVERLOADED,
 						Shortage.until("no engine has memory to start the generation in time", retryAfter), now);
 				return;
 			}
 		}
 		if (call.arrivals() > 0 && !this.retryBudget.tryTake(call.request().service(), now)) {
-			this.ending.refuse(call, RefusalReason.OVERLOADED, "the retry budget is exhausted", now);
+			this.completion.refuse(call, RefusalReason.OVERLOADED, "the retry budget is exhausted", now);
 			return;
 		}
 		call.use(startAttempt(call, target.get(), Optional.empty(), now));
@@ -177,7 +177,7 @@
 		call.tried().add(attempt.target().id());
 		this.sender.choose(call, this.engines.apply(call), now)
 			.ifPresentOrElse((t) -> call.use(startAttempt(call, t, Optional.empty(), now)),
-					() -> this.ending.refuse(call, RefusalReason.TARGET_LOST, cause, now));
+					() -> this.completion.refuse(call, RefusalReason.TARGET_LOST, cause, now));
 	}
 
 	/** Handler of connections that were not established in time. */
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallEnding.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
@@ -16,7 +16,7 @@
  * Each end releases everything that the call holds, and is recorded before the caller
  * receives it.
  */
-final class CallEnding {
+final class CallCompletion {
 
 	private final DispatchSettings settings;
 
@@ -33,7 +33,7 @@
 
 	private final AuditSink audit;
 
-	CallEnding(DispatchSettings settings, Map<Long, DirectCall> calls, AttemptSender sender, StandbyCopies standbys,
+	CallCompletion(DispatchSettings settings, Map<Long, DirectCall> calls, AttemptSender sender, StandbyCopies standbys,
 			StreamMover mover, DispatchOutputs outputs, AuditSink audit) {
 		this.settings = settings;
 		this.calls = calls;
@@ -45,7 +45,7 @@
 	}
 
 	// Ends a call whose target, or whose execution there, is lost.
-	void lost(DirectCall call, String cause, long now) {
+	void endAsLost(DirectCall call, String cause, long now) {
 		if (call.isStreaming()) {
 			cut(call, cause, now);
 		}
@@ -55,8 +55,8 @@
 	}
 
 	// Refuses a call for which no target is eligible.
-	void refuse(DirectCall call, RefusalReason reason, Shortage shortage, long now) {
-		refuse(call, reason, shortage.detail(), shortage.comeBackMillis().orElse(this.settings.comeBackMillis()), now);
+	void refuse(DirectCall call, RefusalReason reason, Shortage noTargetReason, long now) {
+		refuse(call, reason, noTargetReason.detail(), noTargetReason.comeBackMillis().orElse(this.settings.comeBackMillis()), now);
 	}
 
 	void refuse(DirectCall call, RefusalReason reason, String detail, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -40,7 +40,7 @@
 
 	private final StreamMover mover;
 
-	private final CallEnding ending;
+	private final CallCompletion completion;
 
 	private final PoisonGuard poison;
 
@@ -53,14 +53,14 @@
 	private final boolean copiesAtNotice;
 
 	Continuation(Eligibility eligibility, RetryWindow retries, AttemptSender sender, StandbyCopies standbys,
-			StreamMover mover, CallEnding ending, PoisonGuard poison, AuditSink audit, AttemptStarter starter,
+			StreamMover mover, CallCompletion completion, PoisonGuard poison, AuditSink audit, AttemptStarter starter,
 			Function<DirectCall, Optional<EngineSpec>> engines, boolean copiesAtNotice) {
 		this.eligibility = eligibility;
 		this.retries = retries;
 		this.sender = sender;
 		this.standbys = standbys;
 		this.mover = mover;
-		this.ending = ending;
+		this.completion = completion;
 		this.poison = poison;
 		this.audit = audit;
 		this.starter = starter;
@@ -128,7 +128,7 @@
 	// The live copy is unusable, but the first execution may still exist.
 	void continueWithoutCopy(DirectCall call, long now) {
 		if (call.attempt().isEmpty()) {
-			this.ending.lost(call, "both the execution and its copy are lost", now);
+			this.completion.endAsLost(call, "both the execution and its copy are lost", now);
 			return;
 		}
 		startCopy(call, now);
@@ -172,13 +172,13 @@
 		call.stoppedAt(call.attempt().map(Attempt::target).filter((t) -> !t.id().equals(destination.id())));
 		call.attempt().ifPresent((a) -> this.sender.abandon(call, a));
 		if (!this.eligibility.takesReturn(destination, now)) {
-			this.ending.lost(call,
+			this.completion.endAsLost(call,
 					"its KV cache is held by a target that is withheld, in a backoff period or in an evacuated data centre",
 					now);
 			return;
 		}
 		if (!this.retries.tryTake(call.request().service(), now)) {
-			this.ending.lost(call, "the retry budget is exhausted", now);
+			this.completion.endAsLost(call, "the retry budget is exhausted", now);
 			return;
 		}
 		call.use(this.starter.startAttempt(call, destination, Optional.of(from), now));
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -57,7 +57,7 @@
 
 	private final StreamMover mover;
 
-	private final CallEnding ending;
+	private final CallCompletion completion;
 
 	private final AttemptScheduler scheduler;
 
@@ -105,17 +105,17 @@
 				settings.mechanisms().use(Mechanism.STANDBY_COPIES));
 		this.mover = new StreamMover(chooser, estimates, this.standbys, turn, timers, outputs, audit,
 				new CallResumption());
-		this.ending = new CallEnding(settings, this.calls, this.sender, this.standbys, this.mover, outputs, audit);
-		this.poison = new PoisonGuard(suspects, directory, eligibility::isDraining, this.ending, timers, outputs, audit,
+		this.completion = new CallCompletion(settings, this.calls, this.sender, this.standbys, this.mover, outputs, audit);
+		this.poison = new PoisonGuard(suspects, directory, eligibility::isDraining, this.completion, timers, outputs, audit,
 				settings.mechanisms().use(Mechanism.REQUEST_QUARANTINE));
-		this.scheduler = new AttemptScheduler(settings, retries, this.sender, this.ending, this.poison, timers, outputs, audit,
+		this.scheduler = new AttemptScheduler(settings, retries, this.sender, this.completion, this.poison, timers, outputs, audit,
 				this::engine, entries,
 				(c, a, t) -> connectFailed(c.number(), a.number(), ConnectFault.SILENT, "connect timeout expired", t));
-		this.continuation = new Continuation(eligibility, retries, this.sender, this.standbys, this.mover, this.ending,
+		this.continuation = new Continuation(eligibility, retries, this.sender, this.standbys, this.mover, this.completion,
 				this.poison, audit, this.scheduler::startAttempt, this::engine,
 				settings.mechanisms().use(Mechanism.COPIES_AT_NOTICE));
 		this.outcomes = new AttemptOutcomes(settings, directory, estimates, this.sender, this.scheduler, this.continuation,
-				this.ending, this.poison, outputs, audit);
+				this.completion, this.poison, outputs, audit);
 	}
 
 	/**
@@ -307,7 +307,7 @@
 			return false;
 		}
 		if (call.lastEvent() != DirectCall.NO_EVENT && id != call.lastEvent() + 1) {
-			this.ending.cut(call, "event " + id + " came after event " + call.lastEvent(), now);
+			this.completion.cut(call, "event " + id + " came after event " + call.lastEvent(), now);
 			return false;
 		}
 		if (!call.isStreaming()) {
@@ -339,7 +339,7 @@
 		}
 		this.scheduler.recordCompleted(call, now);
 		this.poison.ranWhole(call, now);
-		this.ending.finish(call, AuditKind.ANSWERED,
+		this.completion.finish(call, AuditKind.ANSWERED,
 				"stream up to event " + call.lastEvent() + " whole after " + (now - call.openedAt()) + " ms, attempts "
 						+ call.attempts() + ", first event after " + call.firstEventMillis() + " ms, longest pause "
 						+ call.longestPauseMillis() + " ms before event " + call.eventAfterLongestPause(),
@@ -406,8 +406,8 @@
 	public void callerLeft(long number, long now) {
 		DirectCall call = this.calls.get(number);
 		if (call != null) {
-			this.ending.abandonAll(call);
-			this.ending.finish(call, AuditKind.CANCELLED,
+			this.completion.abandonAll(call);
+			this.completion.finish(call, AuditKind.CANCELLED,
 					"the caller disconnected after " + (now - call.openedAt()) + " ms", now);
 		}
 	}
@@ -535,15 +535,15 @@
 			return;
 		}
 		boolean wasSent = call.verdict() != Verdict.NOT_RUN;
-		this.ending.abandonAll(call);
+		this.completion.abandonAll(call);
 		if (call.isStreaming()) {
-			this.ending.cut(call, "the deadline of the request passed", now);
+			this.completion.cut(call, "the deadline of the request passed", now);
 		}
 		else if (wasSent) {
-			this.ending.refuse(call, RefusalReason.LINK_LOST, "the target did not answer in time", now);
+			this.completion.refuse(call, RefusalReason.LINK_LOST, "the target did not answer in time", now);
 		}
 		else {
-			this.ending.refuse(call, RefusalReason.WAIT_TOO_LONG, "no target could be reached in time", now);
+			this.completion.refuse(call, RefusalReason.WAIT_TOO_LONG, "no target could be reached in time", now);
 		}
 	}
 
@@ -563,7 +563,7 @@
 
 		@Override
 		public void lost(DirectCall call, String cause, long now) {
-			Dispatcher.this.ending.lost(call, cause, now);
+			Dispatcher.this.completion.endAsLost(call, cause, now);
 		}
 
 		@Override
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
@@ -51,7 +51,7 @@
 
 	private final Predicate<ListedTarget> announcedDraining;
 
-	private final CallEnding ending;
+	private final CallCompletion completion;
 
 	private final Timers timers;
 
@@ -67,11 +67,11 @@
 	private final BrokenConnections brokenConnections = new BrokenConnections();
 
 	PoisonGuard(SuspectRequests suspects, TargetDirectory directory, Predicate<ListedTarget> announcedDraining,
-			CallEnding ending, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
+			CallCompletion completion, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
 		this.suspects = suspects;
 		this.directory = directory;
 		this.announcedDraining = announcedDraining;
-		this.ending = ending;
+		this.completion = completion;
 		this.timers = timers;
 		this.outputs = outputs;
 		this.audit = audit;
@@ -117,7 +117,7 @@
 			.map(TargetIncarnation::id)
 			.sorted()
 			.collect(Collectors.joining(", "));
-		this.ending.refuse(call, RefusalReason.QUARANTINED,
+		this.completion.refuse(call, RefusalReason.QUARANTINED,
 				new Shortage("targets crashed while executing this request, digest " + digest.label() + ": " + runs
 						+ "; it is not sent to any target for "
 						+ (left.getAsLong() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND + " s", left),
