--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -108,14 +108,14 @@
 	boolean resumeAtStandby(DirectCall call, String cause, long now) {
 		Optional<Standby> standby = call.standby()
 			.filter((s) -> !s.handle().isEmpty() && this.eligibility.takesWork(s.destination(), now));
-		Optional<Copying> copying = this.mover.copyAtHand(call, now);
-		if ((standby.isEmpty() && copying.isEmpty()) || this.poison.isQuarantined(call, now)
+		Optional<GenerationMove> move = this.mover.copyAtHand(call, now);
+		if ((standby.isEmpty() && move.isEmpty()) || this.poison.isQuarantined(call, now)
 				|| !this.retries.tryTake(call.request().service(), now)) {
 			return false;
 		}
 		ListedTarget source = call.attempt().get().target();
-		ListedTarget destination = standby.map(Standby::destination).orElseGet(() -> copying.get().destination());
-		String handle = standby.map(Standby::handle).orElseGet(() -> copying.get().handle());
+		ListedTarget destination = standby.map(Standby::destination).orElseGet(() -> move.get().destination());
+		String handle = standby.map(Standby::handle).orElseGet(() -> move.get().handle());
 		this.standbys.take(call);
 		this.mover.taken(call, now);
 		this.audit.record(call.event(AuditKind.MOVED, source.id(),
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
@@ -54,7 +54,7 @@
 
 	private long eventAfterLongestPause = NO_EVENT;
 
-	private Optional<Copying> copying = Optional.empty();
+	private Optional<GenerationMove> copying = Optional.empty();
 
 	private Optional<Standby> standby = Optional.empty();
 
@@ -263,11 +263,11 @@
 		this.stoppedAt = engine;
 	}
 
-	Optional<Copying> copying() {
+	Optional<GenerationMove> copying() {
 		return this.copying;
 	}
 
-	void copy(Copying started) {
+	void copy(GenerationMove started) {
 		this.copying = Optional.of(started);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Copying.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/GenerationMove.java
@@ -9,17 +9,17 @@
 /**
  * Progress of the move of one executing generation to another engine.
  */
-final class Copying {
+final class GenerationMove {
 
 	private final ListedTarget source;
 
-	private final Set<String> tried = new HashSet<>();
+	private final Set<String> triedIds = new HashSet<>();
 
 	private CopyPhase phase = CopyPhase.WAITING;
 
 	private ListedTarget destination;
 
-	private long promisedTokens;
+	private long reservedTokens;
 
 	private long notBefore;
 
@@ -29,26 +29,26 @@
 
 	private boolean sourceClosed;
 
-	private boolean counted;
+	private boolean announced;
 
-	Copying(ListedTarget source) {
+	GenerationMove(ListedTarget source) {
 		this.source = source;
-		this.tried.add(source.id());
+		this.triedIds.add(source.id());
 	}
 
 	ListedTarget source() {
 		return this.source;
 	}
 
-	Set<String> tried() {
-		return this.tried;
+	Set<String> triedIds() {
+		return this.triedIds;
 	}
 
 	CopyPhase phase() {
 		return this.phase;
 	}
 
-	void enter(CopyPhase next) {
+	void setPhase(CopyPhase next) {
 		this.phase = next;
 	}
 
@@ -56,13 +56,13 @@
 		return this.destination;
 	}
 
-	void to(ListedTarget chosen, long tokens) {
+	void setDestination(ListedTarget chosen, long tokens) {
 		this.destination = chosen;
-		this.promisedTokens = tokens;
+		this.reservedTokens = tokens;
 	}
 
-	long promisedTokens() {
-		return this.promisedTokens;
+	long reservedTokens() {
+		return this.reservedTokens;
 	}
 
 	// The earliest time of the next try.
@@ -78,7 +78,7 @@
 		return this.orderedAt;
 	}
 
-	void ordered(long now) {
+	void setOrderedAt(long now) {
 		this.orderedAt = now;
 	}
 
@@ -91,16 +91,16 @@
 	}
 
 	// Whether the pending move has been announced to other entries.
-	boolean isCounted() {
-		return this.counted;
+	boolean isAnnounced() {
+		return this.announced;
 	}
 
-	void counted(boolean isCounted) {
-		this.counted = isCounted;
+	void setAnnounced(boolean isCounted) {
+		this.announced = isCounted;
 	}
 
 	// The engine that already holds a part of the KV cache, if there is one.
-	Optional<ListedTarget> partStandsAt() {
+	Optional<ListedTarget> findPartialCopyHolder() {
 		return Optional.ofNullable(this.destination).filter((d) -> !this.handle.isEmpty());
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
@@ -134,9 +134,9 @@
 	}
 
 	private void countPending(DirectCall call, boolean isToMove) {
-		Copying copying = call.copying().get();
-		if (copying.isCounted() != isToMove) {
-			copying.counted(isToMove);
+		GenerationMove move = call.copying().get();
+		if (move.isAnnounced() != isToMove) {
+			move.setAnnounced(isToMove);
 			this.estimates.update(this.source, (b) -> b.addPendingMoves(isToMove ? 1 : -1));
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -94,7 +94,7 @@
 			return;
 		}
 		ListedTarget source = call.attempt().get().target();
-		call.copy(new Copying(source));
+		call.copy(new GenerationMove(source));
 		long noticedAt = this.estimates.of(source).drainingSince().orElse(now);
 		MoveQueue queue = this.queues.computeIfAbsent(source.incarnation(),
 				(incarnation) -> new MoveQueue(source, noticedAt, this.estimates));
@@ -112,14 +112,14 @@
 	 * stop
 	 */
 	boolean expectsEnd(DirectCall call, long now) {
-		Optional<Copying> copying = call.copying();
-		if (copying.isEmpty() || copying.get().phase() == CopyPhase.WAITING
-				|| copying.get().phase() == CopyPhase.AHEAD) {
+		Optional<GenerationMove> move = call.copying();
+		if (move.isEmpty() || move.get().phase() == CopyPhase.WAITING
+				|| move.get().phase() == CopyPhase.AHEAD) {
 			return false;
 		}
-		copying.get().sourceClosed();
-		if (copying.get().phase() == CopyPhase.STOPPED) {
-			resumeAtDestination(call, copying.get(), now);
+		move.get().sourceClosed();
+		if (move.get().phase() == CopyPhase.STOPPED) {
+			resumeAtDestination(call, move.get(), now);
 		}
 		return true;
 	}
@@ -138,17 +138,17 @@
 	}
 
 	void copied(DirectCall call, CopyOrder order, CopyResult result, long now) {
-		Copying copying = call.copying().get();
-		record(call, copying, (order.stop() ? "final copy" : "copy while running") + " to " + order.destination().id()
-				+ ": " + result.outcome() + " in " + (now - copying.orderedAt()) + " ms");
+		GenerationMove move = call.copying().get();
+		record(call, move, (order.stop() ? "final copy" : "copy while running") + " to " + order.destination().id()
+				+ ": " + result.outcome() + " in " + (now - move.orderedAt()) + " ms");
 		if (!result.handle().isEmpty()) {
-			copying.handle(result.handle());
+			move.handle(result.handle());
 		}
-		if (copying.phase() == CopyPhase.AHEAD) {
-			handleRunningCopy(call, copying, result, now);
+		if (move.phase() == CopyPhase.AHEAD) {
+			handleRunningCopy(call, move, result, now);
 		}
-		else if (copying.phase() == CopyPhase.STOPPING) {
-			handleFinalCopy(call, copying, result, now);
+		else if (move.phase() == CopyPhase.STOPPING) {
+			handleFinalCopy(call, move, result, now);
 		}
 	}
 
@@ -205,9 +205,9 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the move whose destination holds a partial copy and accepts work, or empty
 	 */
-	Optional<Copying> copyAtHand(DirectCall call, long now) {
+	Optional<GenerationMove> copyAtHand(DirectCall call, long now) {
 		return call.copying()
-			.filter((c) -> c.partStandsAt().filter((d) -> this.resumption.takesWork(d, now)).isPresent());
+			.filter((c) -> c.findPartialCopyHolder().filter((d) -> this.resumption.takesWork(d, now)).isPresent());
 	}
 
 	private void schedulePoll(MoveQueue queue, long due) {
@@ -220,77 +220,77 @@
 	}
 
 	private void copyWhileRunning(MoveQueue queue, DirectCall call, long now) {
-		Copying copying = call.copying().get();
+		GenerationMove move = call.copying().get();
 		Optional<EngineSpec> engine = this.resumption.engine(call);
 		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
 		Optional<Standby> standby = this.standbys.take(call);
-		standby.ifPresent((s) -> copying.handle(s.handle()));
+		standby.ifPresent((s) -> move.handle(s.handle()));
 		Optional<ListedTarget> partialCopy = standby.map(Standby::destination)
-			.or(copying::partStandsAt)
-			.filter((d) -> !copying.tried().contains(d.id()) && this.resumption.takesWork(d, now));
+			.or(move::findPartialCopyHolder)
+			.filter((d) -> !move.triedIds().contains(d.id()) && this.resumption.takesWork(d, now));
 		if (partialCopy.isEmpty()) {
-			releasePartialCopy(copying);
+			releasePartialCopy(move);
 		}
 		Optional<ListedTarget> destination = partialCopy.or(() -> engine.flatMap((e) -> this.chooser
-			.chooseDestination(queue.source(), call.scopeWithout(copying.tried()), e, tokens, now)));
+			.chooseDestination(queue.source(), call.scopeWithout(move.triedIds()), e, tokens, now)));
 		if (destination.isEmpty()) {
-			copying.tried().clear();
+			move.triedIds().clear();
 			requeue(queue, call, now);
 			return;
 		}
-		copying.to(destination.get(), tokens);
+		move.setDestination(destination.get(), tokens);
 		queue.startCopy(call);
 		this.estimates.update(destination.get(), (b) -> b.addReservedTokens(tokens));
-		copying.enter(CopyPhase.AHEAD);
-		sendCopyOrder(call, copying, now);
+		move.setPhase(CopyPhase.AHEAD);
+		sendCopyOrder(call, move, now);
 	}
 
-	private void releasePartialCopy(Copying copying) {
-		if (!copying.handle().isEmpty()) {
-			this.outputs.releaseCopy(copying.source(), copying.handle());
-			copying.handle("");
+	private void releasePartialCopy(GenerationMove move) {
+		if (!move.handle().isEmpty()) {
+			this.outputs.releaseCopy(move.source(), move.handle());
+			move.handle("");
 		}
 	}
 
-	private void sendCopyOrder(DirectCall call, Copying copying, long now) {
-		copying.ordered(now);
-		this.outputs.copy(call.number(), new CopyOrder(call.request().id(), copying.source(), copying.destination(),
-				copying.phase() == CopyPhase.STOPPING));
+	private void sendCopyOrder(DirectCall call, GenerationMove move, long now) {
+		move.setOrderedAt(now);
+		this.outputs.copy(call.number(), new CopyOrder(call.request().id(), move.source(), move.destination(),
+				move.phase() == CopyPhase.STOPPING));
 	}
 
-	private void handleRunningCopy(DirectCall call, Copying copying, CopyResult result, long now) {
-		MoveQueue queue = this.queues.get(copying.source().incarnation());
+	private void handleRunningCopy(DirectCall call, GenerationMove move, CopyResult result, long now) {
+		MoveQueue queue = this.queues.get(move.source().incarnation());
 		switch (result.outcome()) {
 			case COPIED -> {
-				if (this.resumption.isEvacuated(copying.destination())
-						|| this.resumption.isOver(copying.destination())) {
-					retryAtOtherEngine(queue, call, copying, now);
+				if (this.resumption.isEvacuated(move.destination())
+						|| this.resumption.isOver(move.destination())) {
+					retryAtOtherEngine(queue, call, move, now);
 					return;
 				}
-				boolean wasFast = now - copying.orderedAt() <= FAST_COPY_MILLIS;
+				boolean wasFast = now - move.orderedAt() <= FAST_COPY_MILLIS;
 				if (wasFast || queue.millisSinceNotice(now) >= FORCED_STOP_MILLIS) {
-					copying.enter(CopyPhase.STOPPING);
+					move.setPhase(CopyPhase.STOPPING);
 				}
-				sendCopyOrder(call, copying, now);
+				sendCopyOrder(call, move, now);
 			}
 			case NO_ROOM, FAILED -> {
-				backOff(copying.destination(), now);
-				copying.handle("");
-				retryAtOtherEngine(queue, call, copying, now);
+				backOff(move.destination(), now);
+				move.handle("");
+				retryAtOtherEngine(queue, call, move, now);
 			}
 			// Not attributed to the destination: the source did not make the copy.
 			case NO_ANSWER, UNDER_WAY, NO_SUCH_RUN -> {
-				releaseReservation(copying);
+				releaseReservation(move);
 				queue.endActiveCopy();
 				requeue(queue, call, now);
 			}
 		}
 	}
 
-	private void retryAtOtherEngine(MoveQueue queue, DirectCall call, Copying copying, long now) {
-		copying.tried().add(copying.destination().id());
-		releasePartialCopy(copying);
-		releaseReservation(copying);
+	private void retryAtOtherEngine(MoveQueue queue, DirectCall call, GenerationMove move, long now) {
+		move.triedIds().add(move.destination().id());
+		releasePartialCopy(move);
+		releaseReservation(move);
 		queue.endActiveCopy();
 		copyWhileRunning(queue, call, now);
 	}
@@ -300,15 +300,15 @@
 	}
 
 	private void requeue(MoveQueue queue, DirectCall call, long now) {
-		Copying copying = call.copying().get();
+		GenerationMove move = call.copying().get();
 		if (queue.millisSinceNotice(now) > GIVE_UP_MILLIS) {
-			removeFromQueue(call, copying, now);
+			removeFromQueue(call, move, now);
 			return;
 		}
-		copying.enter(CopyPhase.WAITING);
-		copying.notBefore(now + RETRY_DELAY_MILLIS);
+		move.setPhase(CopyPhase.WAITING);
+		move.notBefore(now + RETRY_DELAY_MILLIS);
 		queue.requeue(call);
-		this.timers.schedule(copying.notBefore(), (t) -> {
+		this.timers.schedule(move.notBefore(), (t) -> {
 			if (queue.markReady(call)) {
 				copyNext(queue, t);
 			}
@@ -316,76 +316,76 @@
 		copyNext(queue, now);
 	}
 
-	private void handleFinalCopy(DirectCall call, Copying copying, CopyResult result, long now) {
+	private void handleFinalCopy(DirectCall call, GenerationMove move, CopyResult result, long now) {
 		if (result.outcome() == CopyResult.Outcome.COPIED) {
-			copying.enter(CopyPhase.STOPPED);
-			if (copying.isSourceClosed()) {
-				resumeAtDestination(call, copying, now);
+			move.setPhase(CopyPhase.STOPPED);
+			if (move.isSourceClosed()) {
+				resumeAtDestination(call, move, now);
 			}
 			else {
-				this.timers.schedule(now + FINAL_EVENTS_TIMEOUT_MILLIS, (t) -> resumeAtDestination(call, copying, t));
+				this.timers.schedule(now + FINAL_EVENTS_TIMEOUT_MILLIS, (t) -> resumeAtDestination(call, move, t));
 			}
 			return;
 		}
-		handleFinalCopyFailure(call, copying, result, now);
+		handleFinalCopyFailure(call, move, result, now);
 	}
 
 	// If the source still holds the stopped generation it resumes there, otherwise at the
 	// last partial copy.
-	private void handleFinalCopyFailure(DirectCall call, Copying copying, CopyResult result, long now) {
-		if (!copying.isSourceClosed()) {
-			MoveQueue queue = this.queues.get(copying.source().incarnation());
-			releaseReservation(copying);
+	private void handleFinalCopyFailure(DirectCall call, GenerationMove move, CopyResult result, long now) {
+		if (!move.isSourceClosed()) {
+			MoveQueue queue = this.queues.get(move.source().incarnation());
+			releaseReservation(move);
 			queue.endActiveCopy();
 			requeue(queue, call, now);
 			return;
 		}
-		if (copying.handle().isEmpty()) {
-			removeFromQueue(call, copying, now);
+		if (move.handle().isEmpty()) {
+			removeFromQueue(call, move, now);
 			this.resumption.lost(call, "the generation was stopped and its copy is unusable", now);
 			return;
 		}
-		if (result.outcome() != CopyResult.Outcome.NO_ANSWER && !this.resumption.isOver(copying.source())) {
-			resumeFromSource(copying);
+		if (result.outcome() != CopyResult.Outcome.NO_ANSWER && !this.resumption.isOver(move.source())) {
+			resumeFromSource(move);
 		}
-		copying.enter(CopyPhase.STOPPED);
-		resumeAtDestination(call, copying, now);
+		move.setPhase(CopyPhase.STOPPED);
+		resumeAtDestination(call, move, now);
 	}
 
 	// A stopped generation stays in the source's memory until it is resumed.
-	private void resumeFromSource(Copying copying) {
-		releaseReservation(copying);
-		copying.to(copying.source(), 0);
+	private void resumeFromSource(GenerationMove move) {
+		releaseReservation(move);
+		move.setDestination(move.source(), 0);
 	}
 
-	private void resumeAtDestination(DirectCall call, Copying copying, long now) {
-		if (call.copying().orElse(null) != copying) {
+	private void resumeAtDestination(DirectCall call, GenerationMove move, long now) {
+		if (call.copying().orElse(null) != move) {
 			return;
 		}
-		if (this.resumption.isOver(copying.destination())) {
-			resumeFromSource(copying);
+		if (this.resumption.isOver(move.destination())) {
+			resumeFromSource(move);
 		}
-		if (this.resumption.isOver(copying.destination())) {
-			removeFromQueue(call, copying, now);
+		if (this.resumption.isOver(move.destination())) {
+			removeFromQueue(call, move, now);
 			this.resumption.lost(call, "both engines of its move started again", now);
 			return;
 		}
-		ListedTarget destination = copying.destination();
-		long sinceNotice = this.queues.get(copying.source().incarnation()).millisSinceNotice(now);
-		record(call, copying, "resumes at " + destination.id() + " after event " + call.lastEvent() + ", " + sinceNotice
+		ListedTarget destination = move.destination();
+		long sinceNotice = this.queues.get(move.source().incarnation()).millisSinceNotice(now);
+		record(call, move, "resumes at " + destination.id() + " after event " + call.lastEvent() + ", " + sinceNotice
 				+ " ms after the notice");
-		removeFromQueue(call, copying, now);
+		removeFromQueue(call, move, now);
 		this.resumption.resume(call, destination,
-				new ResumePoint(copying.source().address(), copying.handle(), call.lastEventText()), now);
+				new ResumePoint(move.source().address(), move.handle(), call.lastEventText()), now);
 	}
 
-	private void removeFromQueue(DirectCall call, Copying copying, long now) {
-		releaseReservation(copying);
-		MoveQueue queue = this.queues.get(copying.source().incarnation());
+	private void removeFromQueue(DirectCall call, GenerationMove move, long now) {
+		releaseReservation(move);
+		MoveQueue queue = this.queues.get(move.source().incarnation());
 		queue.remove(call);
 		call.endCopy();
 		if (queue.isEmpty()) {
-			this.queues.remove(copying.source().incarnation());
+			this.queues.remove(move.source().incarnation());
 			return;
 		}
 		copyNext(queue, now);
@@ -393,11 +393,11 @@
 
 	// Releases the destination memory reserved for the copy; the resumed attempt reserves
 	// it again.
-	private void releaseReservation(Copying copying) {
-		long tokens = copying.promisedTokens();
+	private void releaseReservation(GenerationMove move) {
+		long tokens = move.reservedTokens();
 		if (tokens > 0) {
-			this.estimates.update(copying.destination(), (b) -> b.addReservedTokens(-tokens));
-			copying.to(copying.destination(), 0);
+			this.estimates.update(move.destination(), (b) -> b.addReservedTokens(-tokens));
+			move.setDestination(move.destination(), 0);
 		}
 	}
 
@@ -407,8 +407,8 @@
 		return call.request().work().filter((w) -> w.maxTokens() >= SHORT_GENERATION_TOKENS).isEmpty();
 	}
 
-	private void record(DirectCall call, Copying copying, String cause) {
-		this.audit.record(call.event(AuditKind.MOVED, copying.source().id(), cause));
+	private void record(DirectCall call, GenerationMove move, String cause) {
+		this.audit.record(call.event(AuditKind.MOVED, move.source().id(), cause));
 	}
 
 	/**
