--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -106,7 +106,7 @@
 	// Used only for an execution that is lost; one whose engine is draining is copied
 	// first.
 	boolean resumeAtStandby(DirectCall call, String cause, long now) {
-		Optional<Standby> standby = call.standby()
+		Optional<StandbyCopy> standby = call.standby()
 			.filter((s) -> !s.handle().isEmpty() && this.eligibility.takesWork(s.destination(), now));
 		Optional<GenerationMove> move = this.mover.copyAtHand(call, now);
 		if ((standby.isEmpty() && move.isEmpty()) || this.poison.isQuarantined(call, now)
@@ -114,8 +114,8 @@
 			return false;
 		}
 		ListedTarget source = call.attempt().get().target();
-		ListedTarget destination = standby.map(Standby::destination).orElseGet(() -> move.get().destination());
-		String handle = standby.map(Standby::handle).orElseGet(() -> move.get().handle());
+		ListedTarget destination = standby.map(StandbyCopy::destination).orElseGet(() -> move.get().destination());
+		String handle = standby.map(StandbyCopy::handle).orElseGet(() -> move.get().handle());
 		this.standbys.take(call);
 		this.mover.taken(call, now);
 		this.audit.record(call.event(AuditKind.MOVED, source.id(),
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
@@ -56,7 +56,7 @@
 
 	private Optional<GenerationMove> copying = Optional.empty();
 
-	private Optional<Standby> standby = Optional.empty();
+	private Optional<StandbyCopy> standby = Optional.empty();
 
 	private Optional<ListedTarget> stoppedAt = Optional.empty();
 
@@ -245,11 +245,11 @@
 	}
 
 	// The standby copy for the case that the engine drains or crashes.
-	Optional<Standby> standby() {
+	Optional<StandbyCopy> standby() {
 		return this.standby;
 	}
 
-	void standby(Optional<Standby> kept) {
+	void standby(Optional<StandbyCopy> kept) {
 		this.standby = kept;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
@@ -130,7 +130,7 @@
 	// The tokens of a call's generation that no standby copy holds yet.
 	static long tokensToCopy(DirectCall call) {
 		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
-		return tokens - call.standby().map(Standby::copiedTokens).orElse(0L);
+		return tokens - call.standby().map(StandbyCopy::copiedTokens).orElse(0L);
 	}
 
 	private void countPending(DirectCall call, boolean isToMove) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -126,7 +126,7 @@
 	 */
 	void copied(DirectCall call, CopyOrder order, CopyResult result, long now) {
 		endActiveCopy(call);
-		Standby standby = call.standby().orElse(null);
+		StandbyCopy standby = call.standby().orElse(null);
 		if (standby == null || !standby.destination().isSameIncarnation(order.destination())) {
 			if (!result.handle().isEmpty()) {
 				this.outputs.releaseCopy(order.source(), result.handle());
@@ -163,10 +163,10 @@
 	 * @param call the call of the generation
 	 * @return the copy, or empty if there is none
 	 */
-	Optional<Standby> take(DirectCall call) {
-		Optional<Standby> standby = call.standby();
+	Optional<StandbyCopy> take(DirectCall call) {
+		Optional<StandbyCopy> standby = call.standby();
 		standby.ifPresent((s) -> {
-			this.estimates.update(s.destination(), (b) -> b.addReservedTokens(-s.promisedTokens()));
+			this.estimates.update(s.destination(), (b) -> b.addReservedTokens(-s.reservedTokens()));
 			call.standby(Optional.empty());
 		});
 		endActiveCopy(call);
@@ -201,7 +201,7 @@
 			return;
 		}
 		Optional<ListedTarget> destination = call.standby()
-			.map(Standby::destination)
+			.map(StandbyCopy::destination)
 			.or(() -> chooseDestination(call, attempt, engine, now));
 		if (destination.isEmpty()) {
 			scheduleRefresh(call, attempt, engine, now + NO_DESTINATION_DELAY_MILLIS);
@@ -253,7 +253,7 @@
 	private void startCopy(DirectCall call, Attempt attempt, ListedTarget destination) {
 		long tokens = attempt.heldTokens();
 		this.estimates.update(destination, (b) -> b.addReservedTokens(tokens));
-		call.standby(Optional.of(new Standby(attempt.target(), destination, tokens)));
+		call.standby(Optional.of(new StandbyCopy(attempt.target(), destination, tokens)));
 		record(call, destination, "standby copy started");
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Standby.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopy.java
@@ -6,22 +6,22 @@
  * Standby copy of a running generation, refreshed periodically and used when its engine
  * drains or fails.
  */
-final class Standby {
+final class StandbyCopy {
 
 	private final ListedTarget source;
 
 	private final ListedTarget destination;
 
-	private final long promisedTokens;
+	private final long reservedTokens;
 
 	private String handle = "";
 
 	private long copiedTokens;
 
-	Standby(ListedTarget source, ListedTarget destination, long promisedTokens) {
+	StandbyCopy(ListedTarget source, ListedTarget destination, long promisedTokens) {
 		this.source = source;
 		this.destination = destination;
-		this.promisedTokens = promisedTokens;
+		this.reservedTokens = promisedTokens;
 	}
 
 	ListedTarget source() {
@@ -32,8 +32,8 @@
 		return this.destination;
 	}
 
-	long promisedTokens() {
-		return this.promisedTokens;
+	long reservedTokens() {
+		return this.reservedTokens;
 	}
 
 	// The name of the copy at the source; empty until the first copy completed.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -223,9 +223,9 @@
 		GenerationMove move = call.copying().get();
 		Optional<EngineSpec> engine = this.resumption.engine(call);
 		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
-		Optional<Standby> standby = this.standbys.take(call);
+		Optional<StandbyCopy> standby = this.standbys.take(call);
 		standby.ifPresent((s) -> move.handle(s.handle()));
-		Optional<ListedTarget> partialCopy = standby.map(Standby::destination)
+		Optional<ListedTarget> partialCopy = standby.map(StandbyCopy::destination)
 			.or(move::findPartialCopyHolder)
 			.filter((d) -> !move.triedIds().contains(d.id()) && this.resumption.takesWork(d, now));
 		if (partialCopy.isEmpty()) {
