--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Scope.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CandidateFilter.java
@@ -10,15 +10,15 @@
  *
  * @param service the service that serves the request
  * @param regions the regions in which the request may be served
- * @param tried the ids of targets to exclude; may change while the scope is in use
+ * @param excludedIds the ids of targets to exclude; may change while the scope is in use
  * @since 0.3
  */
-public record Scope(String service, AllowedRegions regions, Set<String> tried) {
+public record CandidateFilter(String service, AllowedRegions regions, Set<String> excludedIds) {
 
-	public Scope {
+	public CandidateFilter {
 		Objects.requireNonNull(service, "service must not be null");
 		Objects.requireNonNull(regions, "regions must not be null");
-		Objects.requireNonNull(tried, "tried must not be null");
+		Objects.requireNonNull(excludedIds, "excludedIds must not be null");
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
@@ -93,12 +93,12 @@
 	}
 
 	// The candidate filter for the next attempt.
-	Scope scope() {
+	CandidateFilter scope() {
 		return scopeWithout(this.tried);
 	}
 
-	Scope scopeWithout(Set<String> excluded) {
-		return new Scope(this.request.service(), this.request.regions(), excluded);
+	CandidateFilter scopeWithout(Set<String> excluded) {
+		return new CandidateFilter(this.request.service(), this.request.regions(), excluded);
 	}
 
 	// The attempt whose answer the caller receives.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -57,13 +57,13 @@
 
 	/**
 	 * Return the targets that may receive a request now.
-	 * @param scope the candidate filter
+	 * @param filter the candidate filter
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the eligible targets, including those suspected unreachable
 	 */
-	public List<ListedTarget> targets(Scope scope, long now) {
-		return serving(scope.service()).stream()
-			.filter((t) -> !scope.tried().contains(t.id()) && isAllowed(scope, t) && freeInMillis(t, now) <= 0)
+	public List<ListedTarget> targets(CandidateFilter filter, long now) {
+		return serving(filter.service()).stream()
+			.filter((t) -> !filter.excludedIds().contains(t.id()) && isAllowed(filter, t) && freeInMillis(t, now) <= 0)
 			.toList();
 	}
 
@@ -190,32 +190,32 @@
 	/**
 	 * Return the number of targets that are otherwise allowed but have received all that
 	 * they accept for now.
-	 * @param scope the candidate filter
+	 * @param filter the candidate filter
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the number of excluded targets
 	 */
-	long countExcluded(Scope scope, long now) {
+	long countExcluded(CandidateFilter filter, long now) {
 		if (this.backpressure.isUnrestricted() && this.cold.isQuiet()) {
 			return 0;
 		}
-		return serving(scope.service()).stream().filter((t) -> isAllowed(scope, t) && freeInMillis(t, now) > 0).count();
+		return serving(filter.service()).stream().filter((t) -> isAllowed(filter, t) && freeInMillis(t, now) > 0).count();
 	}
 
 	/**
 	 * Return the reason why no target is eligible for a request.
-	 * @param scope the candidate filter
+	 * @param filter the candidate filter
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the reason and, if known, the retry delay
 	 */
-	Shortage shortage(Scope scope, long now) {
-		List<ListedTarget> staying = this.directory.available(scope.service())
+	Shortage shortage(CandidateFilter filter, long now) {
+		List<ListedTarget> staying = this.directory.available(filter.service())
 			.stream()
 			.filter((t) -> !this.backpressure.isDraining(t))
 			.toList();
 		if (staying.isEmpty()) {
 			return Shortage.of("no target of the service accepts requests");
 		}
-		List<ListedTarget> allowed = staying.stream().filter((t) -> isAllowed(scope, t)).toList();
+		List<ListedTarget> allowed = staying.stream().filter((t) -> isAllowed(filter, t)).toList();
 		if (allowed.isEmpty()) {
 			return Shortage.of("no target of the service is in a region that the request may be served in");
 		}
@@ -224,7 +224,7 @@
 			return Shortage.until("all targets of the service are withheld or in data centres being evacuated",
 					EVACUATED_RETRY_MILLIS);
 		}
-		List<ListedTarget> untried = open.stream().filter((t) -> !scope.tried().contains(t.id())).toList();
+		List<ListedTarget> untried = open.stream().filter((t) -> !filter.excludedIds().contains(t.id())).toList();
 		// A retry of the caller starts with no target tried, so it may use any open
 		// target.
 		long free = minFreeInMillis(untried.isEmpty() ? open : untried, now);
@@ -243,8 +243,8 @@
 		return Math.max(this.cold.freeInMillis(target, now), this.backpressure.waitMillis(target, now));
 	}
 
-	private boolean isAllowed(Scope scope, ListedTarget target) {
-		return scope.regions().allow(Optional.ofNullable(this.regions.get(target.dataCentre())));
+	private boolean isAllowed(CandidateFilter filter, ListedTarget target) {
+		return filter.regions().allow(Optional.ofNullable(this.regions.get(target.dataCentre())));
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
@@ -132,12 +132,12 @@
 
 	/**
 	 * Choose a target for a request to a plain service.
-	 * @param scope the candidate filter of the request
+	 * @param filter the candidate filter of the request
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the target with the lowest score, or empty if no target is eligible
 	 */
-	public Optional<ListedTarget> choosePlain(Scope scope, long now) {
-		List<ListedTarget> candidates = candidates(scope, now);
+	public Optional<ListedTarget> choosePlain(CandidateFilter filter, long now) {
+		List<ListedTarget> candidates = candidates(filter, now);
 		double fastest = candidates.stream()
 			.mapToDouble((t) -> this.estimates.of(t).quality().responseMillis())
 			.filter((millis) -> millis > 0)
@@ -148,16 +148,16 @@
 
 	/**
 	 * Choose an engine for a generation.
-	 * @param scope the candidate filter of the generation
+	 * @param filter the candidate filter of the generation
 	 * @param engine the capabilities of the service's engines
 	 * @param work the size of the generation
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the engine with the lowest score, or empty if no engine is eligible
 	 */
-	public Optional<ListedTarget> chooseEngine(Scope scope, EngineSpec engine, EngineWork work, long now) {
+	public Optional<ListedTarget> chooseEngine(CandidateFilter filter, EngineSpec engine, EngineWork work, long now) {
 		long tokens = work.heldTokens(0);
 		this.meanTokens += NEWEST_SAMPLE_WEIGHT * (tokens - this.meanTokens);
-		List<ListedTarget> engines = candidates(scope, now);
+		List<ListedTarget> engines = candidates(filter, now);
 		double remotePenalty = hasLocalChoice(engines) ? REMOTE_PENALTY_ENGINE_LOCAL_CHOICE : REMOTE_PENALTY_ENGINE;
 		return lowestScored(engines,
 				(t) -> engineScore(t, engine, tokens, this.dataCentre, remotePenalty, now) + placementSpread());
@@ -170,13 +170,13 @@
 	/**
 	 * Choose the engine with the lowest memory utilization, regardless of all other
 	 * criteria.
-	 * @param scope the candidate filter of the generation
+	 * @param filter the candidate filter of the generation
 	 * @param engine the capabilities of the service's engines
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the engine, or empty if no engine is eligible
 	 */
-	public Optional<ListedTarget> chooseLeastFull(Scope scope, EngineSpec engine, long now) {
-		return lowestScored(candidates(scope, now), (t) -> fullness(t, engine, now));
+	public Optional<ListedTarget> chooseLeastFull(CandidateFilter filter, EngineSpec engine, long now) {
+		return lowestScored(candidates(filter, now), (t) -> fullness(t, engine, now));
 	}
 
 	private boolean hasLocalChoice(List<ListedTarget> engines) {
@@ -186,15 +186,15 @@
 	/**
 	 * Choose the engine to which a running generation is moved.
 	 * @param source the engine that runs the generation
-	 * @param scope the candidate filter of the generation
+	 * @param filter the candidate filter of the generation
 	 * @param engine the capabilities of the service's engines
 	 * @param tokens the memory that the generation reserves, in tokens
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the engine, or empty if no other engine is eligible
 	 */
-	public Optional<ListedTarget> chooseDestination(ListedTarget source, Scope scope, EngineSpec engine, long tokens,
+	public Optional<ListedTarget> chooseDestination(ListedTarget source, CandidateFilter filter, EngineSpec engine, long tokens,
 			long now) {
-		List<ListedTarget> others = candidates(scope, now).stream().filter((t) -> !t.id().equals(source.id())).toList();
+		List<ListedTarget> others = candidates(filter, now).stream().filter((t) -> !t.id().equals(source.id())).toList();
 		return lowestScored(others, (t) -> destinationScore(source, t, engine, tokens, now));
 	}
 
@@ -221,7 +221,7 @@
 	 * Choose the engine that holds a standby copy of a generation. Distance is not
 	 * scored, since incremental updates use little bandwidth.
 	 * @param source the engine that runs the generation
-	 * @param scope the candidate filter of the generation
+	 * @param filter the candidate filter of the generation
 	 * @param engine the capabilities of the service's engines
 	 * @param tokens the memory that the generation reserves, in tokens
 	 * @param maxUtilization the maximum memory utilization of the destination including
@@ -230,9 +230,9 @@
 	 * @return the engine, or empty if no other engine is eligible or the best one exceeds
 	 * the maximum utilization
 	 */
-	public Optional<ListedTarget> chooseBackup(ListedTarget source, Scope scope, EngineSpec engine, long tokens,
+	public Optional<ListedTarget> chooseBackup(ListedTarget source, CandidateFilter filter, EngineSpec engine, long tokens,
 			double maxUtilization, long now) {
-		List<ListedTarget> others = candidates(scope, now).stream().filter((t) -> !t.id().equals(source.id())).toList();
+		List<ListedTarget> others = candidates(filter, now).stream().filter((t) -> !t.id().equals(source.id())).toList();
 		return lowestScored(others, (t) -> engineScore(t, engine, tokens, source.dataCentre(), 0, now))
 			.filter((t) -> fullness(t, engine, now) + (double) tokens / engine.memoryTokens() <= maxUtilization);
 	}
@@ -263,8 +263,8 @@
 		return this.estimates.reservedTokens(target, this.meanTokens, now) / engine.memoryTokens();
 	}
 
-	private List<ListedTarget> candidates(Scope scope, long now) {
-		List<ListedTarget> eligible = this.eligibility.targets(scope, now);
+	private List<ListedTarget> candidates(CandidateFilter filter, long now) {
+		List<ListedTarget> eligible = this.eligibility.targets(filter, now);
 		if (!this.mechanisms.use(Mechanism.EJECTION)) {
 			return eligible;
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -36,7 +36,7 @@
 
 	private static final EngineWork WORK = new EngineWork("m", 3_000, 1_000, OptionalLong.empty(), List.of());
 
-	private static final Scope SCOPE = new Scope("llm", AllowedRegions.any(), Set.of());
+	private static final CandidateFilter SCOPE = new CandidateFilter("llm", AllowedRegions.any(), Set.of());
 
 	private final Evacuations evacuations = new Evacuations(new NoOpEvacuationListener());
 
