--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -132,7 +132,7 @@
 		if (resume.isEmpty()) {
 			updateUnread(attempt, call.request().work().map(EngineWork::promptTokens).orElse(0L));
 		}
-		this.outputs.send(call.number(), attempt.number(), target, new SendOrder(call.request().account(),
+		this.outputs.send(call.number(), attempt.number(), target, new SendParameters(call.request().account(),
 				call.request().route().priority(), resume, backup.map(ListedTarget::address)));
 		return attempt;
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DispatchOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DispatchOutputs.java
@@ -18,9 +18,9 @@
 	 * @param call the number of the call
 	 * @param attempt the number of the attempt
 	 * @param target the target to send to
-	 * @param order the parameters of the request at the target
+	 * @param parameters the parameters of the request at the target
 	 */
-	void send(long call, int attempt, ListedTarget target, SendOrder order);
+	void send(long call, int attempt, ListedTarget target, SendParameters parameters);
 
 	/**
 	 * Close the connection of an attempt, which frees its slot at the target.
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -302,8 +302,8 @@
 	}
 
 	@Override
-	public void send(long call, int attempt, ListedTarget target, SendOrder order) {
-		this.sent.add(new Sent(call, attempt, target, order));
+	public void send(long call, int attempt, ListedTarget target, SendParameters parameters) {
+		this.sent.add(new Sent(call, attempt, target, parameters));
 	}
 
 	@Override
@@ -372,7 +372,7 @@
 	 * @param target the target to send to
 	 * @param order the parameters of the request at the target
 	 */
-	record Sent(long call, int attempt, ListedTarget target, SendOrder order) {
+	record Sent(long call, int attempt, ListedTarget target, SendParameters order) {
 
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EvacuationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EvacuationTests.java
@@ -91,7 +91,7 @@
 		this.harness.openStream(1);
 		DispatchHarness.Sent first = this.harness.arrive();
 		this.harness.event(first, 0);
-		assertThat(first.order().backup()).isPresent();
+		assertThat(first.order().liveCopy()).isPresent();
 		String copyIn = first.target().dataCentre().equals("dc") ? "dc2" : "dc";
 		this.harness.evacuations.begin(copyIn);
 		assertThat(this.harness.released).containsExactly(first.target().id() + "/request-1");
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/MechanismsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/MechanismsTests.java
@@ -16,7 +16,7 @@
 	void withoutLiveCopiesCopiesAtReclaimNotice() {
 		DispatchHarness harness = DispatchHarness.without(Mechanism.RUNNING_COPIES);
 		Sent sent = stream(harness);
-		assertThat(sent.order().backup().isEmpty()).isTrue();
+		assertThat(sent.order().liveCopy().isEmpty()).isTrue();
 		harness.leave(sent.target());
 		harness.passTime(90);
 		assertThat(harness.copies).hasSize(1);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
@@ -95,7 +95,7 @@
 		Sent first = streamWithLiveCopy();
 		this.harness.startAgain(first.target());
 		Sent second = this.harness.arrive();
-		assertThat(second.target().address()).isEqualTo(first.order().backup().get());
+		assertThat(second.target().address()).isEqualTo(first.order().liveCopy().get());
 		assertThat(second.order().resume().isPresent()).isTrue();
 		assertThat(this.harness.copies).isEmpty();
 		assertThat(this.harness.event(second, 1)).isTrue();
@@ -224,7 +224,7 @@
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
 		Sent first = this.harness.arrive();
-		assertThat(first.order().backup().isPresent()).isTrue();
+		assertThat(first.order().liveCopy().isPresent()).isTrue();
 		this.harness.event(first, 0);
 		return first;
 	}
@@ -234,7 +234,7 @@
 		this.harness.openStream(1, TOKENS_TOO_LARGE_FOR_COPY);
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		Sent first = this.harness.arrive();
-		assertThat(first.order().backup().isPresent()).isFalse();
+		assertThat(first.order().liveCopy().isPresent()).isFalse();
 		this.harness.event(first, 0);
 		return first;
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
@@ -68,12 +68,12 @@
 		this.harness.openStream(1);
 		Sent first = this.harness.arrive();
 		ListedTarget source = first.target();
-		assertThat(first.order().backup().isPresent()).isTrue();
+		assertThat(first.order().liveCopy().isPresent()).isTrue();
 		this.harness.event(first, 0);
 		this.harness.event(first, 1);
 		this.harness.leave(source);
 		Sent second = this.harness.arrive();
-		assertThat(second.target().address()).isEqualTo(first.order().backup().get());
+		assertThat(second.target().address()).isEqualTo(first.order().liveCopy().get());
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(second.target().address(), DispatchHarness.id(1), "1")));
 		assertThat(this.harness.abandoned).isEmpty();
@@ -172,7 +172,7 @@
 		assertThat(this.harness.sent).hasSize(1);
 		this.harness.breakOff(first);
 		Sent second = this.harness.arrive();
-		assertThat(second.target().address()).isEqualTo(first.order().backup().get());
+		assertThat(second.target().address()).isEqualTo(first.order().liveCopy().get());
 	}
 
 	@Test
@@ -579,7 +579,7 @@
 		this.harness.openStream(1, TOKENS_TOO_LARGE_FOR_COPY);
 		Sent first = this.harness.arrive();
 		this.harness.join(DispatchHarness.ENGINES, "b");
-		assertThat(first.order().backup()).isEqualTo(Optional.empty());
+		assertThat(first.order().liveCopy()).isEqualTo(Optional.empty());
 		this.harness.event(first, 0);
 		return first;
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
@@ -252,7 +252,7 @@
 	}
 
 	private ListedTarget liveCopyOf(Sent run) {
-		String address = run.order().backup().get();
+		String address = run.order().liveCopy().get();
 		return this.harness.directory.all().stream().filter((t) -> t.address().equals(address)).findFirst().get();
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/UnreachableDetectorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/UnreachableDetectorTests.java
@@ -85,7 +85,7 @@
 		Sent run = this.harness.arrive();
 		this.harness.event(run, 0);
 		String backup = run.target().id().equals("a") ? "b" : "a";
-		assertThat(run.order().backup()).isNotEqualTo(Optional.empty());
+		assertThat(run.order().liveCopy()).isNotEqualTo(Optional.empty());
 		this.harness.others.put(backup, new WorkAtTarget(TargetIncarnation.of(backup), 0, 0, 0, 0, false, 2, false));
 		this.harness.breakOff(run);
 		assertThat(this.harness.sent).hasSize(1);
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
@@ -10,7 +10,7 @@
 import dev.laneworks.core.dispatch.DirectRequest;
 import dev.laneworks.core.dispatch.DispatchOutputs;
 import dev.laneworks.core.dispatch.Dispatcher;
-import dev.laneworks.core.dispatch.SendOrder;
+import dev.laneworks.core.dispatch.SendParameters;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.entry.caller.CallTimes;
 import dev.laneworks.runtime.http.HttpCaller;
@@ -65,9 +65,9 @@
 	}
 
 	@Override
-	public void send(long call, int attempt, ListedTarget target, SendOrder order) {
+	public void send(long call, int attempt, ListedTarget target, SendParameters parameters) {
 		OpenCall openCall = this.open.get(call);
-		TargetAttempt targetAttempt = new TargetAttempt(call, attempt, target, order, openCall.request, this.dispatcher,
+		TargetAttempt targetAttempt = new TargetAttempt(call, attempt, target, parameters, openCall.request, this.dispatcher,
 				this.translation, this.loop);
 		openCall.attempts.put(attempt, targetAttempt);
 		this.loop.run(() -> {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/HeaderTranslation.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/HeaderTranslation.java
@@ -4,7 +4,7 @@
 
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.dispatch.AnswerHead;
-import dev.laneworks.core.dispatch.SendOrder;
+import dev.laneworks.core.dispatch.SendParameters;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.runtime.http.HttpHeader;
 import dev.laneworks.runtime.http.HttpResponseHead;
@@ -35,11 +35,11 @@
 	 * Create the headers that are sent to a target.
 	 * @param fromCaller the end-to-end headers of the caller
 	 * @param target the target that receives the request
-	 * @param order how the request is sent
+	 * @param parameters how the request is sent
 	 * @param leftMillis the time left for the target, in milliseconds
 	 * @return the headers to send
 	 */
-	List<HttpHeader> forTarget(List<HttpHeader> fromCaller, ListedTarget target, SendOrder order, long leftMillis);
+	List<HttpHeader> forTarget(List<HttpHeader> fromCaller, ListedTarget target, SendParameters parameters, long leftMillis);
 
 	/**
 	 * Read the head of a target's answer.
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
@@ -12,7 +12,7 @@
 import dev.laneworks.core.dispatch.AnswerHead;
 import dev.laneworks.core.dispatch.ConnectFault;
 import dev.laneworks.core.dispatch.Dispatcher;
-import dev.laneworks.core.dispatch.SendOrder;
+import dev.laneworks.core.dispatch.SendParameters;
 import dev.laneworks.runtime.http.HttpCall;
 import dev.laneworks.runtime.http.HttpExchange;
 import dev.laneworks.runtime.http.HttpResponseHead;
@@ -35,7 +35,7 @@
 
 	private final ListedTarget target;
 
-	private final SendOrder order;
+	private final SendParameters parameters;
 
 	private final CallerRequest request;
 
@@ -59,12 +59,12 @@
 
 	private boolean abandoned;
 
-	TargetAttempt(long call, int number, ListedTarget target, SendOrder order, CallerRequest request,
+	TargetAttempt(long call, int number, ListedTarget target, SendParameters parameters, CallerRequest request,
 			Dispatcher dispatcher, HeaderTranslation translation, EventLoop loop) {
 		this.call = call;
 		this.number = number;
 		this.target = target;
-		this.order = order;
+		this.parameters = parameters;
 		this.request = request;
 		this.dispatcher = dispatcher;
 		this.translation = translation;
@@ -108,7 +108,7 @@
 		}
 		return Optional.of(new HttpCall(
 				server(), this.request.method(), this.request.uri(), this.translation
-					.forTarget(this.request.forwardedHeaders(), this.target, this.order, remainingMillis.getAsLong()),
+					.forTarget(this.request.forwardedHeaders(), this.target, this.parameters, remainingMillis.getAsLong()),
 				this.request.body()));
 	}
 
