--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CopyTurn.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CopyCoordination.java
@@ -11,7 +11,7 @@
  *
  * @since 0.2
  */
-public interface CopyTurn {
+public interface CopyCoordination {
 
 	/**
 	 * Determine whether this process may order copies from an engine now.
@@ -20,7 +20,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return {@code true} if copies may be ordered
 	 */
-	boolean isOurs(ListedTarget source, long sinceNotice, long now);
+	boolean isOwnTurn(ListedTarget source, long sinceNotice, long now);
 
 	/**
 	 * Determine whether no other process is known to copy from or to either of two
@@ -30,6 +30,6 @@
 	 * @return {@code true} if the links of both engines are free according to the last
 	 * gossip update
 	 */
-	boolean isQuiet(ListedTarget source, ListedTarget destination);
+	boolean areLinksIdle(ListedTarget source, ListedTarget destination);
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -80,7 +80,7 @@
 	 * @param estimates the recorded state of each target
 	 * @param eligibility the rules that decide which targets may receive requests
 	 * @param chooser the selection among eligible targets
-	 * @param turn the coordination of copies away from an engine with other processes
+	 * @param coordination the coordination of copies away from an engine with other processes
 	 * @param entries the number and ranks of the entries
 	 * @param suspects the requests that were in progress when targets crashed
 	 * @param retries the share of this process in the retry budget
@@ -89,7 +89,7 @@
 	 * @param audit the receiver of decisions with their causes
 	 */
 	public Dispatcher(DispatchSettings settings, TargetDirectory directory, TargetEstimates estimates,
-			Eligibility eligibility, TargetChooser chooser, CopyTurn turn, EntryRanks entries, SuspectRequests suspects,
+			Eligibility eligibility, TargetChooser chooser, CopyCoordination coordination, EntryRanks entries, SuspectRequests suspects,
 			RetryWindow retries, Timers timers, DispatchOutputs outputs, AuditSink audit) {
 		this.settings = settings;
 		this.directory = directory;
@@ -101,9 +101,9 @@
 		this.audit = audit;
 		this.sender = new AttemptSender(directory, eligibility, estimates, chooser, outputs, audit,
 				settings.mechanisms());
-		this.standbys = new StandbyCopies(directory, eligibility, estimates, chooser, turn, timers, outputs, audit,
+		this.standbys = new StandbyCopies(directory, eligibility, estimates, chooser, coordination, timers, outputs, audit,
 				settings.mechanisms().use(Mechanism.STANDBY_COPIES));
-		this.mover = new StreamMover(chooser, estimates, this.standbys, turn, timers, outputs, audit,
+		this.mover = new StreamMover(chooser, estimates, this.standbys, coordination, timers, outputs, audit,
 				new CallResumption());
 		this.completion = new CallCompletion(settings, this.calls, this.sender, this.standbys, this.mover, outputs, audit);
 		this.poison = new PoisonGuard(suspects, directory, eligibility::isDraining, this.completion, timers, outputs, audit,
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -62,7 +62,7 @@
 
 	private final TargetChooser chooser;
 
-	private final CopyTurn turn;
+	private final CopyCoordination coordination;
 
 	private final Timers timers;
 
@@ -81,12 +81,12 @@
 	private final Map<String, Long> movesOnlyUntil = new HashMap<>();
 
 	StandbyCopies(TargetDirectory directory, Eligibility eligibility, TargetEstimates estimates, TargetChooser chooser,
-			CopyTurn turn, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
+			CopyCoordination coordination, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
 		this.directory = directory;
 		this.eligibility = eligibility;
 		this.estimates = estimates;
 		this.chooser = chooser;
-		this.turn = turn;
+		this.coordination = coordination;
 		this.timers = timers;
 		this.outputs = outputs;
 		this.audit = audit;
@@ -231,7 +231,7 @@
 	private boolean areLinksBusy(ListedTarget source, ListedTarget destination, long now) {
 		return now < this.movesOnlyUntil.getOrDefault(source.dataCentre(), 0L)
 				|| now < this.movesOnlyUntil.getOrDefault(destination.dataCentre(), 0L)
-				|| !this.turn.isQuiet(source, destination);
+				|| !this.coordination.areLinksIdle(source, destination);
 	}
 
 	private void order(DirectCall call, ListedTarget source, ListedTarget destination) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -65,7 +65,7 @@
 
 	private final StandbyCopies standbys;
 
-	private final CopyTurn turn;
+	private final CopyCoordination coordination;
 
 	private final Timers timers;
 
@@ -77,12 +77,12 @@
 
 	private final Map<TargetIncarnation, MoveQueue> queues = new HashMap<>();
 
-	StreamMover(TargetChooser chooser, TargetEstimates estimates, StandbyCopies standbys, CopyTurn turn, Timers timers,
+	StreamMover(TargetChooser chooser, TargetEstimates estimates, StandbyCopies standbys, CopyCoordination coordination, Timers timers,
 			DispatchOutputs outputs, AuditSink audit, Resumption resumption) {
 		this.chooser = chooser;
 		this.estimates = estimates;
 		this.standbys = standbys;
-		this.turn = turn;
+		this.coordination = coordination;
 		this.timers = timers;
 		this.outputs = outputs;
 		this.audit = audit;
@@ -195,7 +195,7 @@
 		if (MoveQueue.tokensToCopy(next) <= SMALL_COPY_TOKENS) {
 			return true;
 		}
-		return sinceNotice >= SMALL_COPIES_FIRST_MILLIS && this.turn.isOurs(queue.source(), sinceNotice, now);
+		return sinceNotice >= SMALL_COPIES_FIRST_MILLIS && this.coordination.isOwnTurn(queue.source(), sinceNotice, now);
 	}
 
 	/**
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -376,15 +376,15 @@
 
 	}
 
-	private final class FixedCopyTurn implements CopyTurn {
+	private final class FixedCopyTurn implements CopyCoordination {
 
 		@Override
-		public boolean isOurs(ListedTarget source, long sinceNotice, long now) {
+		public boolean isOwnTurn(ListedTarget source, long sinceNotice, long now) {
 			return DispatchHarness.this.ourTurn;
 		}
 
 		@Override
-		public boolean isQuiet(ListedTarget source, ListedTarget destination) {
+		public boolean areLinksIdle(ListedTarget source, ListedTarget destination) {
 			return DispatchHarness.this.ourTurn;
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -15,7 +15,7 @@
 import dev.laneworks.core.backpressure.TargetBackpressure;
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetIncarnation;
-import dev.laneworks.core.dispatch.CopyTurn;
+import dev.laneworks.core.dispatch.CopyCoordination;
 import dev.laneworks.core.dispatch.EntryRanks;
 import dev.laneworks.core.dispatch.RetryWindow;
 import dev.laneworks.core.dispatch.TargetEstimates;
@@ -44,7 +44,7 @@
  * updates of the platform's store within the data centre, and transfers snapshots. Used
  * on the I/O thread alone, except for {@link #listen} and {@link #count()}.
  */
-final class PeerEntries implements GossipOutputs, CopyTurn, EntryRanks {
+final class PeerEntries implements GossipOutputs, CopyCoordination, EntryRanks {
 
 	private final Mechanisms mechanisms;
 
@@ -227,12 +227,12 @@
 	}
 
 	@Override
-	public boolean isOurs(ListedTarget source, long sinceNotice, long now) {
+	public boolean isOwnTurn(ListedTarget source, long sinceNotice, long now) {
 		return !this.mechanisms.use(Mechanism.COPY_TURNS) || this.gossip.mayStartMove(source.incarnation(), sinceNotice, now);
 	}
 
 	@Override
-	public boolean isQuiet(ListedTarget source, ListedTarget destination) {
+	public boolean areLinksIdle(ListedTarget source, ListedTarget destination) {
 		return !this.gossip.isCopying(source.incarnation()) && !this.gossip.isCopying(destination.incarnation());
 	}
 
