--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdBound.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdRateLimit.java
@@ -7,9 +7,9 @@
  * @param slack the number of requests allowed on top
  * @since 0.3
  */
-public record ColdBound(double overage, double slack) {
+public record ColdRateLimit(double overage, double slack) {
 
-	public ColdBound {
+	public ColdRateLimit {
 		if (overage < 0 || slack < 0) {
 			throw new IllegalArgumentException("overage and slack must not be negative");
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
@@ -50,7 +50,7 @@
 	/** The longest accepted cold time; longer reports are ignored as invalid. */
 	private static final long MAX_COLD_MILLIS = 600_000;
 
-	private final ColdBound bound;
+	private final ColdRateLimit limit;
 
 	private final EntryRanks entries;
 
@@ -62,14 +62,14 @@
 
 	/**
 	 * Create the limits, with no target cold.
-	 * @param bound the rate that all entries together may send
+	 * @param limit the rate that all entries together may send
 	 * @param entries the number of entries and the rank of this one
 	 * @param coldPerSecond the requests per second that a cold target of a service
 	 * supports; 0 if unknown, for no limit
 	 * @param audit the receiver of events about cold targets
 	 */
-	public ColdTargets(ColdBound bound, EntryRanks entries, ToDoubleFunction<String> coldPerSecond, AuditSink audit) {
-		this.bound = Objects.requireNonNull(bound, "bound must not be null");
+	public ColdTargets(ColdRateLimit limit, EntryRanks entries, ToDoubleFunction<String> coldPerSecond, AuditSink audit) {
+		this.limit = Objects.requireNonNull(limit, "limit must not be null");
 		this.entries = Objects.requireNonNull(entries, "entries must not be null");
 		this.coldPerSecond = Objects.requireNonNull(coldPerSecond, "coldPerSecond must not be null");
 		this.audit = Objects.requireNonNull(audit, "audit must not be null");
@@ -94,7 +94,7 @@
 		ColdTarget state = this.byRun.computeIfAbsent(target.incarnation(), (incarnation) -> new ColdTarget());
 		if (now >= state.until) {
 			record(target, "cold for " + millis + " ms, limited to "
-					+ this.bound.requests(this.coldPerSecond.applyAsDouble(target.service())) + " requests a second");
+					+ this.limit.requests(this.coldPerSecond.applyAsDouble(target.service())) + " requests a second");
 		}
 		state.until = now + millis;
 	}
@@ -170,7 +170,7 @@
 	}
 
 	private int share(ListedTarget target, double perSecond) {
-		double usable = USED_SHARE * this.bound.requests(perSecond);
+		double usable = USED_SHARE * this.limit.requests(perSecond);
 		int sharing = Math.max(MIN_ENTRIES, this.entries.entries());
 		if (usable >= sharing) {
 			return (int) (usable / sharing);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
@@ -21,7 +21,7 @@
  */
 class ColdTargetsTests {
 
-	private static final ColdBound BOUND = new ColdBound(1.5, 5);
+	private static final ColdRateLimit BOUND = new ColdRateLimit(1.5, 5);
 
 	private final ListedTarget target = new ListedTarget("i-1", "s", "10.0.0.1", 80, "dc", 6, false);
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -85,7 +85,7 @@
 
 	int before;
 
-	final ColdTargets cold = new ColdTargets(new ColdBound(1.5, 5), new FixedRanks(), (s) -> this.coldPerSecond,
+	final ColdTargets cold = new ColdTargets(new ColdRateLimit(1.5, 5), new FixedRanks(), (s) -> this.coldPerSecond,
 			(e) -> this.audit.add(e));
 
 	/** The share of this entry in the rate limits that targets advertise. */
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -49,7 +49,7 @@
 			new SplittableRandom(2));
 
 	private final TargetChooser chooser = new TargetChooser(new Eligibility(this.directory, this.estimates,
-			new ColdTargets(new ColdBound(1, 0), new SingleEntry(), (s) -> 0, (e) -> {
+			new ColdTargets(new ColdRateLimit(1, 0), new SingleEntry(), (s) -> 0, (e) -> {
 			}), new TargetBackpressure(new TargetRateLimits((s, t) -> 1, (t) -> 0), (t) -> {
 			}, (e) -> {
 			}), Map.of()), this.estimates, "here", new SplittableRandom(1), Mechanisms.all());
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectSettings.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectSettings.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-import dev.laneworks.core.dispatch.ColdBound;
+import dev.laneworks.core.dispatch.ColdRateLimit;
 import dev.laneworks.core.document.DocumentObject;
 import dev.laneworks.core.follow.FollowSettings;
 import dev.laneworks.core.mechanism.Mechanisms;
@@ -43,7 +43,7 @@
 public record DirectSettings(String instance, String dataCentre, Map<String, String> regions, InetSocketAddress callers,
 		InetSocketAddress readiness, InetSocketAddress operators, InetSocketAddress news, List<String> seeds,
 		InetSocketAddress store, FollowSettings follow, long retryWindowMillis, double retryRatio, double retryExtra,
-		double retryExtraShare, ColdBound coldBound, long graceMillis, long takeAllMillis, long startHoldMillis,
+		double retryExtraShare, ColdRateLimit coldBound, long graceMillis, long takeAllMillis, long startHoldMillis,
 		Mechanisms mechanisms) {
 
 	/** Longest time for which the store holds a watch; see {@link FollowSettings}. */
@@ -130,12 +130,12 @@
 			.collect(Collectors.toMap((d) -> d.text("name"), (d) -> d.text("region"), (a, b) -> b));
 	}
 
-	private static ColdBound coldBound(DocumentObject root) {
+	private static ColdRateLimit coldBound(DocumentObject root) {
 		if (!root.has("coldTargets")) {
-			return new ColdBound(1, 0);
+			return new ColdRateLimit(1, 0);
 		}
 		DocumentObject cold = root.object("coldTargets");
-		return new ColdBound(cold.number("overage", 0, MAX_LIMIT, 1), cold.number("slack", 0, MAX_LIMIT, 0));
+		return new ColdRateLimit(cold.number("overage", 0, MAX_LIMIT, 1), cold.number("slack", 0, MAX_LIMIT, 0));
 	}
 
 	private static long millis(double seconds) {
