--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -63,9 +63,9 @@
 	}
 
 	Optional<ListedTarget> choose(DirectCall call, Optional<EngineSpec> engine, long now) {
-		Optional<EngineWork> work = call.request().work();
-		if (engine.isPresent() && work.isPresent()) {
-			return this.chooser.chooseEngine(call.scope(), engine.get(), work.get(), now);
+		Optional<GenerationSize> size = call.request().work();
+		if (engine.isPresent() && size.isPresent()) {
+			return this.chooser.chooseEngine(call.scope(), engine.get(), size.get(), now);
 		}
 		return this.chooser.choosePlain(call.scope(), now);
 	}
@@ -130,7 +130,7 @@
 		this.eligibility.sent(target, now);
 		reserve(attempt, heldTokens(call, engine));
 		if (resume.isEmpty()) {
-			updateUnread(attempt, call.request().work().map(EngineWork::promptTokens).orElse(0L));
+			updateUnread(attempt, call.request().work().map(GenerationSize::promptTokens).orElse(0L));
 		}
 		this.outputs.send(call.number(), attempt.number(), target, new SendParameters(call.request().account(),
 				call.request().route().priority(), resume, backup.map(ListedTarget::address)));
@@ -205,7 +205,7 @@
 	private static long heldTokens(DirectCall call, Optional<EngineSpec> engine) {
 		long generated = (call.lastEvent() + 1) * engine.map(EngineSpec::tokensPerEvent).orElse(0);
 		long roundedDown = generated - generated % GROWTH_STEP_TOKENS;
-		return call.request().work().map((w) -> w.heldTokens(roundedDown)).orElse(0L);
+		return call.request().work().map((w) -> w.reservedTokens(roundedDown)).orElse(0L);
 	}
 
 	private void reserve(Attempt attempt, long tokens) {
@@ -227,13 +227,13 @@
 	}
 
 	private Optional<ListedTarget> chooseBackup(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
-		Optional<EngineWork> work = call.request().work();
-		if (!this.mechanisms.use(Mechanism.RUNNING_COPIES) || !engine.backups() || work.isEmpty()
-				|| work.get().isShort()
+		Optional<GenerationSize> size = call.request().work();
+		if (!this.mechanisms.use(Mechanism.RUNNING_COPIES) || !engine.backups() || size.isEmpty()
+				|| size.get().isShort()
 				|| this.chooser.fleetFullness(target.service(), engine, now) > MAX_FLEET_UTILIZATION) {
 			return Optional.empty();
 		}
-		return this.chooser.chooseBackup(target, call.scopeWithout(Set.of()), engine, work.get().heldTokens(0),
+		return this.chooser.chooseBackup(target, call.scopeWithout(Set.of()), engine, size.get().reservedTokens(0),
 				MAX_BACKUP_UTILIZATION, now);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectRequest.java
@@ -22,7 +22,7 @@
  * @since 0.2
  */
 public record DirectRequest(String id, RouteSpec route, String service, String account, long patienceMillis,
-		AllowedRegions regions, RequestDigest digest, Optional<EngineWork> work) {
+		AllowedRegions regions, RequestDigest digest, Optional<GenerationSize> work) {
 
 	public DirectRequest {
 		Objects.requireNonNull(id, "id must not be null");
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EngineAdmission.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EngineAdmission.java
@@ -38,11 +38,11 @@
 
 	/**
 	 * Record the time from the opening to the end of a generation.
-	 * @param work the size of the generation
+	 * @param size the size of the generation
 	 * @param millis the time in milliseconds
 	 */
-	void recordLifetime(EngineWork work, long millis) {
-		if (work.isShort()) {
+	void recordLifetime(GenerationSize size, long millis) {
+		if (size.isShort()) {
 			this.shortLifetimeMillis += NEWEST_SAMPLE_WEIGHT * (millis - this.shortLifetimeMillis);
 		}
 		else {
@@ -53,14 +53,14 @@
 	/**
 	 * Estimate how long it takes until generations that end release the memory that
 	 * another one needs.
-	 * @param work the size of the generation
+	 * @param size the size of the generation
 	 * @param memoryTokens the memory released within the lifetime of a long generation,
 	 * in tokens
 	 * @return the time in milliseconds
 	 */
-	double memoryReleaseMillis(EngineWork work, double memoryTokens) {
-		double lifetime = work.isShort() ? this.shortLifetimeMillis : this.lifetimeMillis;
-		return work.heldTokens(0) * lifetime / memoryTokens;
+	double memoryReleaseMillis(GenerationSize size, double memoryTokens) {
+		double lifetime = size.isShort() ? this.shortLifetimeMillis : this.lifetimeMillis;
+		return size.reservedTokens(0) * lifetime / memoryTokens;
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EngineWork.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/GenerationSize.java
@@ -14,7 +14,7 @@
  * @param parts the parts of the prompt in order; all but the last may be shared
  * @since 0.2
  */
-public record EngineWork(String model, long promptTokens, long maxTokens, OptionalLong expectedTokens,
+public record GenerationSize(String model, long promptTokens, long maxTokens, OptionalLong expectedTokens,
 		List<PromptPart> parts) {
 
 	/**
@@ -29,7 +29,7 @@
 	 */
 	private static final long LONG_TOKENS = 200;
 
-	public EngineWork {
+	public GenerationSize {
 		Objects.requireNonNull(model, "model must not be null");
 		Objects.requireNonNull(expectedTokens, "expectedTokens must not be null");
 		parts = List.copyOf(parts);
@@ -51,7 +51,7 @@
 	 * @param generated the number of tokens generated so far
 	 * @return the number of prompt and generated tokens plus a growth reserve
 	 */
-	public long heldTokens(long generated) {
+	public long reservedTokens(long generated) {
 		return this.promptTokens + generated + Math.min(GROWTH_TOKENS, Math.max(0, this.maxTokens - generated));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
@@ -150,12 +150,12 @@
 	 * Choose an engine for a generation.
 	 * @param filter the candidate filter of the generation
 	 * @param engine the capabilities of the service's engines
-	 * @param work the size of the generation
+	 * @param size the size of the generation
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the engine with the lowest score, or empty if no engine is eligible
 	 */
-	public Optional<ListedTarget> chooseEngine(CandidateFilter filter, EngineSpec engine, EngineWork work, long now) {
-		long tokens = work.heldTokens(0);
+	public Optional<ListedTarget> chooseEngine(CandidateFilter filter, EngineSpec engine, GenerationSize size, long now) {
+		long tokens = size.reservedTokens(0);
 		this.meanTokens += NEWEST_SAMPLE_WEIGHT * (tokens - this.meanTokens);
 		List<ListedTarget> engines = candidates(filter, now);
 		double remotePenalty = hasLocalChoice(engines) ? REMOTE_PENALTY_ENGINE_LOCAL_CHOICE : REMOTE_PENALTY_ENGINE;
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -207,16 +207,16 @@
 	}
 
 	void openStream(long call, long promptTokens) {
-		EngineWork work = new EngineWork("m", promptTokens, 1_000, OptionalLong.empty(), List.of());
-		open(call, RequestKind.STREAMING, 1, ENGINES, Optional.of(work));
+		GenerationSize size = new GenerationSize("m", promptTokens, 1_000, OptionalLong.empty(), List.of());
+		open(call, RequestKind.STREAMING, 1, ENGINES, Optional.of(size));
 	}
 
-	private void open(long call, RequestKind kind, int maxAttempts, String service, Optional<EngineWork> work) {
+	private void open(long call, RequestKind kind, int maxAttempts, String service, Optional<GenerationSize> size) {
 		long timeout = (kind == RequestKind.STREAMING) ? 39_000 : 1_500;
 		RouteSpec route = new RouteSpec("r", "h", "/", kind, timeout, 300, 180, 1, maxAttempts, false,
 				List.of(new WeightedService(service, 1)), AllowedRegions.any());
 		this.dispatcher.open(call, new DirectRequest(id(call), route, service, "acme", 2 * timeout, this.regions,
-				this.digests.getOrDefault(call, digest(call)), work), this.now);
+				this.digests.getOrDefault(call, digest(call)), size), this.now);
 		settle();
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EngineAdmissionTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EngineAdmissionTests.java
@@ -18,7 +18,7 @@
  */
 class EngineAdmissionTests {
 
-	private static final EngineWork LONG = new EngineWork("m", 3_000, 1_000, OptionalLong.empty(), List.of());
+	private static final GenerationSize LONG = new GenerationSize("m", 3_000, 1_000, OptionalLong.empty(), List.of());
 
 	private final EngineAdmission admission = new EngineAdmission();
 
@@ -59,7 +59,7 @@
 
 	@Test
 	void memoryOfShortGenerationIsReleasedSooner() {
-		EngineWork shortWork = new EngineWork("m", 3_210, 40, OptionalLong.empty(), List.of());
+		GenerationSize shortWork = new GenerationSize("m", 3_210, 40, OptionalLong.empty(), List.of());
 		for (int i = 0; i < 200; i++) {
 			this.admission.recordLifetime(shortWork, 1_000);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
@@ -139,14 +139,14 @@
 		RouteSpec route = new RouteSpec(caller.kind.name(), "h", "/", RequestKind.STREAMING, caller.kind.patienceMillis,
 				caller.kind.goalMillis, 180, caller.kind.rank, 1, false,
 				List.of(new WeightedService(DispatchHarness.ENGINES, 1)), AllowedRegions.any());
-		EngineWork work = new EngineWork("m", caller.kind.promptTokens, caller.kind.maxTokens, OptionalLong.empty(),
+		GenerationSize size = new GenerationSize("m", caller.kind.promptTokens, caller.kind.maxTokens, OptionalLong.empty(),
 				List.of());
 		this.open.get(entry).put(number, caller);
 		int before = entry.sent.size();
 		entry.dispatcher.open(number,
 				new DirectRequest(DispatchHarness.id(number), route, DispatchHarness.ENGINES, "acme",
 						caller.givesUpAt - this.now, AllowedRegions.any(), DispatchHarness.digest(number),
-						Optional.of(work)),
+						Optional.of(size)),
 				this.now);
 		entry.passTime(0);
 		for (DispatchHarness.Sent sent : List.copyOf(entry.sent.subList(before, entry.sent.size()))) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
@@ -212,11 +212,11 @@
 		this.open.put(number, request);
 		RouteSpec route = new RouteSpec("r", "h", "/", RequestKind.STREAMING, 39_000, 1_800, 180, 1, 1, false,
 				List.of(new WeightedService(DispatchHarness.ENGINES, 1)), AllowedRegions.any());
-		EngineWork work = new EngineWork("m", 1_500, (request.events > 4) ? 1_000 : 40, OptionalLong.empty(),
+		GenerationSize size = new GenerationSize("m", 1_500, (request.events > 4) ? 1_000 : 40, OptionalLong.empty(),
 				List.of());
 		entry.passTime(this.now - entry.now);
 		entry.dispatcher.open(number, new DirectRequest(DispatchHarness.id(number), route, DispatchHarness.ENGINES,
-				"acme", 39_000, AllowedRegions.any(), request.digest, Optional.of(work)), this.now);
+				"acme", 39_000, AllowedRegions.any(), request.digest, Optional.of(size)), this.now);
 		processOutputs(entry);
 		handleEnd(entry, number);
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -34,7 +34,7 @@
 
 	private static final EngineSpec ENGINE = new EngineSpec(64, 30_000, 18_432, 2_700, 4, true, true, 2_000);
 
-	private static final EngineWork WORK = new EngineWork("m", 3_000, 1_000, OptionalLong.empty(), List.of());
+	private static final GenerationSize WORK = new GenerationSize("m", 3_000, 1_000, OptionalLong.empty(), List.of());
 
 	private static final CandidateFilter SCOPE = new CandidateFilter("llm", AllowedRegions.any(), Set.of());
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/GracefulShutdown.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/GracefulShutdown.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-import dev.laneworks.core.dispatch.EngineWork;
+import dev.laneworks.core.dispatch.GenerationSize;
 import dev.laneworks.core.serving.RequestKind;
 import dev.laneworks.core.serving.RouteSpec;
 
@@ -75,23 +75,23 @@
 	/**
 	 * Determine whether a request can be accepted.
 	 * @param route the route of the request
-	 * @param work the work for an engine; empty for a plain service
+	 * @param size the work for an engine; empty for a plain service
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return {@code false} if the process is likely to end before the answer is complete
 	 */
-	boolean canFinish(RouteSpec route, Optional<EngineWork> work, long now) {
+	boolean canFinish(RouteSpec route, Optional<GenerationSize> size, long now) {
 		if (!isRequested() || now - this.earliestSentAt < this.acceptAllMillis) {
 			return true;
 		}
 		long remainingMillis = this.earliestSentAt + this.graceMillis - now;
-		return expectedMillis(route, work) <= remainingMillis;
+		return expectedMillis(route, size) <= remainingMillis;
 	}
 
-	private static long expectedMillis(RouteSpec route, Optional<EngineWork> work) {
+	private static long expectedMillis(RouteSpec route, Optional<GenerationSize> size) {
 		if (route.kind() != RequestKind.STREAMING) {
 			return GOALS_PER_ANSWER * route.goalMillis();
 		}
-		return route.goalMillis() + work.map((w) -> MAX_TOKEN_MILLIS * w.maxTokens()).orElse(route.timeoutMillis());
+		return route.goalMillis() + size.map((w) -> MAX_TOKEN_MILLIS * w.maxTokens()).orElse(route.timeoutMillis());
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/RequestFacts.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/RequestFacts.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 import java.util.Optional;
 
-import dev.laneworks.core.dispatch.EngineWork;
+import dev.laneworks.core.dispatch.GenerationSize;
 
 /**
  * Values of a request head, translated from the callers' protocol.
@@ -15,7 +15,7 @@
  * @param work the work for an engine; empty for a plain service
  * @since 0.2
  */
-public record RequestFacts(String id, Optional<String> key, Optional<Long> patienceMillis, Optional<EngineWork> work) {
+public record RequestFacts(String id, Optional<String> key, Optional<Long> patienceMillis, Optional<GenerationSize> work) {
 
 	public RequestFacts {
 		Objects.requireNonNull(id, "id must not be null");
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/GracefulShutdownTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/GracefulShutdownTests.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-import dev.laneworks.core.dispatch.EngineWork;
+import dev.laneworks.core.dispatch.GenerationSize;
 import dev.laneworks.core.serving.AllowedRegions;
 import dev.laneworks.core.serving.RequestKind;
 import dev.laneworks.core.serving.RouteSpec;
@@ -61,8 +61,8 @@
 	}
 
 	private boolean canFinishStream(long maxTokens, long now) {
-		EngineWork work = new EngineWork("m", 3_000, maxTokens, OptionalLong.empty(), List.of());
-		return this.shutdown.canFinish(route(RequestKind.STREAMING, 1_800), Optional.of(work), now);
+		GenerationSize size = new GenerationSize("m", 3_000, maxTokens, OptionalLong.empty(), List.of());
+		return this.shutdown.canFinish(route(RequestKind.STREAMING, 1_800), Optional.of(size), now);
 	}
 
 	private static RouteSpec route(RequestKind kind, long goalMillis) {
