--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -28,7 +28,7 @@
 
 	private final DispatchSettings settings;
 
-	private final RetryWindow retryBudget;
+	private final SharedRetryBudget retryBudget;
 
 	private final AttemptSender sender;
 
@@ -60,7 +60,7 @@
 
 	private final boolean admissionEnabled;
 
-	AttemptScheduler(DispatchSettings settings, RetryWindow retryBudget, AttemptSender sender, CallCompletion completion,
+	AttemptScheduler(DispatchSettings settings, SharedRetryBudget retryBudget, AttemptSender sender, CallCompletion completion,
 			PoisonGuard poison, Timers timers, DispatchOutputs outputs, AuditSink audit,
 			Function<DirectCall, Optional<EngineSpec>> engines, EntryRanks entries, ConnectFailureHandler connectFailure) {
 		this.settings = settings;
@@ -106,7 +106,7 @@
 				return;
 			}
 		}
-		if (call.arrivals() > 0 && !this.retryBudget.tryTake(call.request().service(), now)) {
+		if (call.arrivals() > 0 && !this.retryBudget.tryAcquire(call.request().service(), now)) {
 			this.completion.refuse(call, RefusalReason.OVERLOADED, "the retry budget is exhausted", now);
 			return;
 		}
@@ -168,7 +168,7 @@
 				&& call.attempts() < this.settings.maxAttempts()
 				&& call.dueAt() - now > request.route().goalMillis() / this.settings.timeShareToTryAgain()
 				&& this.sender.hasUntried(call, attempt.target(), now)
-				&& this.retryBudget.tryTake(request.service(), now);
+				&& this.retryBudget.tryAcquire(request.service(), now);
 	}
 
 	void retry(DirectCall call, Attempt attempt, String cause, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -32,7 +32,7 @@
 
 	private final Eligibility eligibility;
 
-	private final RetryWindow retries;
+	private final SharedRetryBudget retries;
 
 	private final AttemptSender sender;
 
@@ -52,7 +52,7 @@
 
 	private final boolean copiesAtNotice;
 
-	Continuation(Eligibility eligibility, RetryWindow retries, AttemptSender sender, StandbyCopies standbys,
+	Continuation(Eligibility eligibility, SharedRetryBudget retries, AttemptSender sender, StandbyCopies standbys,
 			StreamMover mover, CallCompletion completion, PoisonGuard poison, AuditSink audit, AttemptStarter starter,
 			Function<DirectCall, Optional<EngineSpec>> engines, boolean copiesAtNotice) {
 		this.eligibility = eligibility;
@@ -92,7 +92,7 @@
 			.flatMap(Attempt::backup)
 			.filter((b) -> this.eligibility.takesWork(b, now));
 		if (backup.isEmpty() || call.successor().isPresent() || this.poison.isQuarantined(call, now)
-				|| !this.retries.tryTake(call.request().service(), now)) {
+				|| !this.retries.tryAcquire(call.request().service(), now)) {
 			return false;
 		}
 		this.standbys.drop(call);
@@ -110,7 +110,7 @@
 			.filter((s) -> !s.handle().isEmpty() && this.eligibility.takesWork(s.destination(), now));
 		Optional<GenerationMove> move = this.mover.copyAtHand(call, now);
 		if ((standby.isEmpty() && move.isEmpty()) || this.poison.isQuarantined(call, now)
-				|| !this.retries.tryTake(call.request().service(), now)) {
+				|| !this.retries.tryAcquire(call.request().service(), now)) {
 			return false;
 		}
 		ListedTarget source = call.attempt().get().target();
@@ -177,7 +177,7 @@
 					now);
 			return;
 		}
-		if (!this.retries.tryTake(call.request().service(), now)) {
+		if (!this.retries.tryAcquire(call.request().service(), now)) {
 			this.completion.endAsLost(call, "the retry budget is exhausted", now);
 			return;
 		}
@@ -210,7 +210,7 @@
 	boolean returnToSource(DirectCall call, Attempt refused, String cause, long now) {
 		Optional<ListedTarget> source = call.stoppedAt().filter((s) -> this.eligibility.takesReturn(s, now));
 		call.stoppedAt(Optional.empty());
-		if (source.isEmpty() || refused.resume().isEmpty() || !this.retries.tryTake(call.request().service(), now)) {
+		if (source.isEmpty() || refused.resume().isEmpty() || !this.retries.tryAcquire(call.request().service(), now)) {
 			return false;
 		}
 		this.audit.record(call.event(AuditKind.MOVED, source.get().id(), "resumes at its source after event "
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -43,7 +43,7 @@
 
 	private final TargetEstimates estimates;
 
-	private final RetryWindow retries;
+	private final SharedRetryBudget retries;
 
 	private final Timers timers;
 
@@ -90,7 +90,7 @@
 	 */
 	public Dispatcher(DispatchSettings settings, TargetDirectory directory, TargetEstimates estimates,
 			Eligibility eligibility, TargetChooser chooser, CopyCoordination coordination, EntryRanks entries, SuspectRequests suspects,
-			RetryWindow retries, Timers timers, DispatchOutputs outputs, AuditSink audit) {
+			SharedRetryBudget retries, Timers timers, DispatchOutputs outputs, AuditSink audit) {
 		this.settings = settings;
 		this.directory = directory;
 		this.estimates = estimates;
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/RetryWindow.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/SharedRetryBudget.java
@@ -21,7 +21,7 @@
  *
  * @since 0.2
  */
-public final class RetryWindow {
+public final class SharedRetryBudget {
 
 	private final long windowMillis;
 
@@ -49,7 +49,7 @@
 	 * @param fleetFixed the fixed number of retries of the fleet
 	 * @param others the source of the spending of other processes
 	 */
-	public RetryWindow(long windowMillis, double ratio, double fixed, double fleetFixed, SpendingOfOthers others) {
+	public SharedRetryBudget(long windowMillis, double ratio, double fixed, double fleetFixed, SpendingOfOthers others) {
 		this.fleetFixed = fleetFixed;
 		this.others = others;
 		if (windowMillis <= 0) {
@@ -65,7 +65,7 @@
 	 * @param newRatio the retries allowed per request received
 	 * @param newFixed this process's part of the fixed number of retries
 	 */
-	public void allow(double newRatio, double newFixed) {
+	public void setLimits(double newRatio, double newFixed) {
 		this.ratio = newRatio;
 		this.fixed = newFixed;
 	}
@@ -85,7 +85,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return {@code false} if the budget is exhausted
 	 */
-	public boolean tryTake(String service, long now) {
+	public boolean tryAcquire(String service, long now) {
 		ServiceWindow window = window(service, now);
 		boolean isWithinOwnShare = window.retries.size() + 1 <= this.ratio * window.requests.size() + this.fixed;
 		if (!isWithinOwnShare && !isWithinFleetLimit(service, window, now)) {
@@ -100,7 +100,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return one entry per service for which requests were received
 	 */
-	public List<RetryBudgetUsage> spending(long now) {
+	public List<RetryBudgetUsage> usage(long now) {
 		return this.services.keySet().stream().map((s) -> {
 			ServiceWindow window = window(s, now);
 			return new RetryBudgetUsage(s, window.requests.size(), window.retries.size());
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -140,7 +140,7 @@
 		this.suspects = new SuspectRequests(poison, new SuspicionRecorder());
 		SplittableRandom random = new SplittableRandom(seed);
 		TargetChooser chooser = new TargetChooser(this.eligibility, this.estimates, "dc", random, mechanisms);
-		RetryWindow retries = new RetryWindow(10_000, retryRatio, retryExtra, retryExtra,
+		SharedRetryBudget retries = new SharedRetryBudget(10_000, retryRatio, retryExtra, retryExtra,
 				(s, w, t) -> Optional.empty());
 		this.dispatcher = new Dispatcher(DispatchSettings.defaults(mechanisms), this.directory, this.estimates,
 				this.eligibility, chooser, new FixedCopyTurn(), new FixedRanks(), this.suspects, retries, this.timers,
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -24,7 +24,7 @@
 import dev.laneworks.core.dispatch.DispatchSettings;
 import dev.laneworks.core.dispatch.Dispatcher;
 import dev.laneworks.core.dispatch.Eligibility;
-import dev.laneworks.core.dispatch.RetryWindow;
+import dev.laneworks.core.dispatch.SharedRetryBudget;
 import dev.laneworks.core.dispatch.TargetChooser;
 import dev.laneworks.core.dispatch.TargetEstimates;
 import dev.laneworks.core.gossip.RetryBudgetUsage;
@@ -111,7 +111,7 @@
 
 	private final TargetEstimates estimates;
 
-	private final RetryWindow retries;
+	private final SharedRetryBudget retries;
 
 	private final PeerEntries peers;
 
@@ -185,7 +185,7 @@
 		PlatformAdapter adapter = platform.create(settings, http, thread);
 		DirectCalls calls = new DirectCalls(this.loop, http, adapter.headers(), adapter.engines(),
 				new CallTimes(this.metrics));
-		this.retries = new RetryWindow(settings.retryWindowMillis(), settings.retryRatio(), settings.ownRetryExtra(1),
+		this.retries = new SharedRetryBudget(settings.retryWindowMillis(), settings.retryRatio(), settings.ownRetryExtra(1),
 				settings.retryExtra(), this::peerSpending);
 		this.peers = new PeerEntries(settings, this.estimates, this.retries, this.loop, random, this.audit);
 		this.cold = new ColdTargets(settings.coldBound(), this.peers, this::coldPerSecond, this.audit);
@@ -367,7 +367,7 @@
 		MonotonicClock.look();
 		this.gauges = collectGauges(this.loop.now());
 		this.recentEntryCount = Math.max(this.peers.count() + 1, this.recentEntryCount - 1);
-		this.retries.allow(this.activeSettings.retryRatio(), this.activeSettings.ownRetryExtra(this.recentEntryCount));
+		this.retries.setLimits(this.activeSettings.retryRatio(), this.activeSettings.ownRetryExtra(this.recentEntryCount));
 		this.loop.timers().schedule(this.loop.now() + RETRY_SHARE_INTERVAL_MILLIS, (t) -> updateRetryShare());
 	}
 
@@ -421,7 +421,7 @@
 	}
 
 	private OptionalLong ownRequests(String service, long now) {
-		return this.retries.spending(now)
+		return this.retries.usage(now)
 			.stream()
 			.filter((s) -> s.service().equals(service))
 			.mapToLong(RetryBudgetUsage::requests)
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -17,7 +17,7 @@
 import dev.laneworks.core.directory.TargetIncarnation;
 import dev.laneworks.core.dispatch.CopyCoordination;
 import dev.laneworks.core.dispatch.EntryRanks;
-import dev.laneworks.core.dispatch.RetryWindow;
+import dev.laneworks.core.dispatch.SharedRetryBudget;
 import dev.laneworks.core.dispatch.TargetEstimates;
 import dev.laneworks.core.follow.SharedWatch;
 import dev.laneworks.core.follow.StoreUpdate;
@@ -52,7 +52,7 @@
 
 	private final TargetEstimates estimates;
 
-	private final RetryWindow retries;
+	private final SharedRetryBudget retries;
 
 	private final EventLoop loop;
 
@@ -81,7 +81,7 @@
 	/** Opened by the main thread before anything is sent on the I/O thread. */
 	private volatile NewsSocket socket;
 
-	PeerEntries(DirectSettings settings, TargetEstimates estimates, RetryWindow retries, EventLoop loop,
+	PeerEntries(DirectSettings settings, TargetEstimates estimates, SharedRetryBudget retries, EventLoop loop,
 			RandomGenerator random, AuditSink audit) {
 		this.mechanisms = settings.mechanisms();
 		this.ownAddress = addressText(settings.news());
@@ -263,7 +263,7 @@
 
 	@Override
 	public List<RetryBudgetUsage> ownBudgetUsage() {
-		return this.retries.spending(this.loop.now());
+		return this.retries.usage(this.loop.now());
 	}
 
 	private static Set<String> seeds(DirectSettings settings) {
