--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/SharedRetryBudget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/SharedRetryBudget.java
@@ -37,7 +37,7 @@
 
 	private final double fleetFixed;
 
-	private final SpendingOfOthers others;
+	private final RemoteUsage others;
 
 	private final Map<String, ServiceWindow> services = new HashMap<>();
 
@@ -49,7 +49,7 @@
 	 * @param fleetFixed the fixed number of retries of the fleet
 	 * @param others the source of the spending of other processes
 	 */
-	public SharedRetryBudget(long windowMillis, double ratio, double fixed, double fleetFixed, SpendingOfOthers others) {
+	public SharedRetryBudget(long windowMillis, double ratio, double fixed, double fleetFixed, RemoteUsage others) {
 		this.fleetFixed = fleetFixed;
 		this.others = others;
 		if (windowMillis <= 0) {
@@ -108,7 +108,7 @@
 	}
 
 	private boolean isWithinFleetLimit(String service, ServiceWindow window, long now) {
-		return this.others.spending(service, this.windowMillis, now)
+		return this.others.usage(service, this.windowMillis, now)
 			.filter((o) -> o.repeats() + window.retries.size() + 1 <= SHARED_LIMIT_FRACTION
 					* (this.ratio * (o.requests() + window.requests.size()) + this.fleetFixed))
 			.isPresent();
@@ -122,7 +122,7 @@
 
 	/** Source of the retries spent by other processes. */
 	@FunctionalInterface
-	public interface SpendingOfOthers {
+	public interface RemoteUsage {
 
 		/**
 		 * Return the total requests and retries of other processes for a service.
@@ -131,7 +131,7 @@
 		 * @param now the current time in milliseconds of the monotonic clock
 		 * @return the sum, or empty if nothing is known of other processes
 		 */
-		Optional<RetryBudgetUsage> spending(String service, long windowMillis, long now);
+		Optional<RetryBudgetUsage> usage(String service, long windowMillis, long now);
 
 	}
 
