--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -26,14 +26,14 @@
 
 	private final CallCompletion completion;
 
-	private final PoisonGuard poison;
+	private final PoisonRequestGuard poison;
 
 	private final DispatchOutputs outputs;
 
 	private final AuditSink audit;
 
 	AttemptOutcomes(DispatchSettings settings, TargetDirectory directory, TargetEstimates estimates, AttemptSender sender,
-			AttemptScheduler scheduler, Continuation continuation, CallCompletion completion, PoisonGuard poison, DispatchOutputs outputs,
+			AttemptScheduler scheduler, Continuation continuation, CallCompletion completion, PoisonRequestGuard poison, DispatchOutputs outputs,
 			AuditSink audit) {
 		this.settings = settings;
 		this.directory = directory;
@@ -80,7 +80,7 @@
 		}
 		else {
 			recordSuccess(attempt, now);
-			this.poison.ranWhole(call, now);
+			this.poison.recordCompleted(call, now);
 		}
 		this.completion.finish(call, AuditKind.ANSWERED,
 				"status " + head.status() + " after " + (now - call.openedAt()) + " ms", now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -34,7 +34,7 @@
 
 	private final CallCompletion completion;
 
-	private final PoisonGuard poison;
+	private final PoisonRequestGuard poison;
 
 	private final Timers timers;
 
@@ -61,7 +61,7 @@
 	private final boolean admissionEnabled;
 
 	AttemptScheduler(DispatchSettings settings, SharedRetryBudget retryBudget, AttemptSender sender, CallCompletion completion,
-			PoisonGuard poison, Timers timers, DispatchOutputs outputs, AuditSink audit,
+			PoisonRequestGuard poison, Timers timers, DispatchOutputs outputs, AuditSink audit,
 			Function<DirectCall, Optional<EngineSpec>> engines, EntryRanks entries, ConnectFailureHandler connectFailure) {
 		this.settings = settings;
 		this.retryBudget = retryBudget;
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -42,7 +42,7 @@
 
 	private final CallCompletion completion;
 
-	private final PoisonGuard poison;
+	private final PoisonRequestGuard poison;
 
 	private final AuditSink audit;
 
@@ -53,7 +53,7 @@
 	private final boolean copiesAtNotice;
 
 	Continuation(Eligibility eligibility, SharedRetryBudget retries, AttemptSender sender, StandbyCopies standbys,
-			StreamMover mover, CallCompletion completion, PoisonGuard poison, AuditSink audit, AttemptStarter starter,
+			StreamMover mover, CallCompletion completion, PoisonRequestGuard poison, AuditSink audit, AttemptStarter starter,
 			Function<DirectCall, Optional<EngineSpec>> engines, boolean copiesAtNotice) {
 		this.eligibility = eligibility;
 		this.retries = retries;
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -67,7 +67,7 @@
 
 	private final AttemptOutcomes outcomes;
 
-	private final PoisonGuard poison;
+	private final PoisonRequestGuard poison;
 
 	private final Map<Long, DirectCall> calls = new HashMap<>();
 
@@ -106,7 +106,7 @@
 		this.mover = new StreamMover(chooser, estimates, this.standbys, coordination, timers, outputs, audit,
 				new CallResumption());
 		this.completion = new CallCompletion(settings, this.calls, this.sender, this.standbys, this.mover, outputs, audit);
-		this.poison = new PoisonGuard(suspects, directory, eligibility::isDraining, this.completion, timers, outputs, audit,
+		this.poison = new PoisonRequestGuard(suspects, directory, eligibility::isDraining, this.completion, timers, outputs, audit,
 				settings.mechanisms().use(Mechanism.REQUEST_QUARANTINE));
 		this.scheduler = new AttemptScheduler(settings, retries, this.sender, this.completion, this.poison, timers, outputs, audit,
 				this::engine, entries,
@@ -218,7 +218,7 @@
 			this.estimates.of(target).quality().recordUnreachable(now);
 			if (fault == ConnectFault.REFUSED) {
 				this.estimates.recordRefusedConnection(target);
-				this.poison.refused(target, now);
+				this.poison.handleRefusedConnection(target, now);
 			}
 		}
 		// Recording the refusal may have ended the call.
@@ -302,7 +302,7 @@
 			call.stoppedAt(Optional.empty());
 			handleFirstEvent(call, found.get(), now);
 		}
-		this.poison.event(call, found.get(), now);
+		this.poison.handleEvent(call, found.get(), now);
 		if (call.lastEvent() != DirectCall.NO_EVENT && id <= call.lastEvent()) {
 			return false;
 		}
@@ -338,7 +338,7 @@
 			return;
 		}
 		this.scheduler.recordCompleted(call, now);
-		this.poison.ranWhole(call, now);
+		this.poison.recordCompleted(call, now);
 		this.completion.finish(call, AuditKind.ANSWERED,
 				"stream up to event " + call.lastEvent() + " whole after " + (now - call.openedAt()) + " ms, attempts "
 						+ call.attempts() + ", first event after " + call.firstEventMillis() + " ms, longest pause "
@@ -364,7 +364,7 @@
 		if (!call.isSuccessor(found.get()) && this.mover.expectsEnd(call, now)) {
 			return;
 		}
-		this.poison.brokeOff(call, found.get(), now);
+		this.poison.handleBrokenConnection(call, found.get(), now);
 		this.outcomes.handleFailure(call, found.get(), cause, now);
 	}
 
@@ -377,10 +377,10 @@
 	 */
 	public void checked(ListedTarget target, boolean refused, long now) {
 		if (refused) {
-			this.poison.refused(target, now);
+			this.poison.handleRefusedConnection(target, now);
 		}
 		else {
-			this.poison.reached(target, now);
+			this.poison.handleReachable(target, now);
 		}
 	}
 
@@ -440,7 +440,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void leaving(ListedTarget target, DrainingCause cause, long now) {
-		this.poison.leaving(target, cause, now);
+		this.poison.handleDraining(target, cause, now);
 		if (this.directory.isFormerIncarnation(target)) {
 			return;
 		}
@@ -464,7 +464,7 @@
 		if (this.directory.isFormerIncarnation(target)) {
 			failAfterRestart(target, now);
 		}
-		this.poison.gone(target, now);
+		this.poison.handleRemoved(target, now);
 	}
 
 	private void failAfterRestart(ListedTarget target, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonRequestGuard.java
@@ -28,7 +28,7 @@
  * ends. Exempt are generations that have sent events for a while, since a harmful request
  * crashes its target early, and requests at a draining target, which was expected to end.
  */
-final class PoisonGuard {
+final class PoisonRequestGuard {
 
 	/**
 	 * Delays after a broken connection at which the target is checked: at once, since the
@@ -66,7 +66,7 @@
 
 	private final BrokenConnections brokenConnections = new BrokenConnections();
 
-	PoisonGuard(SuspectRequests suspects, TargetDirectory directory, Predicate<ListedTarget> announcedDraining,
+	PoisonRequestGuard(SuspectRequests suspects, TargetDirectory directory, Predicate<ListedTarget> announcedDraining,
 			CallCompletion completion, Timers timers, DispatchOutputs outputs, AuditSink audit, boolean enabled) {
 		this.suspects = suspects;
 		this.directory = directory;
@@ -132,7 +132,7 @@
 	 * @param attempt the attempt whose connection broke
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void brokeOff(DirectCall call, Attempt attempt, long now) {
+	void handleBrokenConnection(DirectCall call, Attempt attempt, long now) {
 		ListedTarget target = attempt.target();
 		boolean wasExpectedToStay = this.directory.isAvailable(target) || this.directory.isFormerIncarnation(target);
 		if (!this.enabled || call.isCleared() || !wasExpectedToStay || this.announcedShutdown.contains(target.incarnation())
@@ -149,7 +149,7 @@
 	 * @param target the target that refused the connection
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void refused(ListedTarget target, long now) {
+	void handleRefusedConnection(ListedTarget target, long now) {
 		recordCrash(target, "it refuses connections", now);
 	}
 
@@ -158,7 +158,7 @@
 	 * @param target the target that accepted the connection
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void reached(ListedTarget target, long now) {
+	void handleReachable(ListedTarget target, long now) {
 		this.brokenConnections.connectionAccepted(target.incarnation(), now);
 	}
 
@@ -170,7 +170,7 @@
 	 * @param cause the reason that was observed
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void leaving(ListedTarget target, DrainingCause cause, long now) {
+	void handleDraining(ListedTarget target, DrainingCause cause, long now) {
 		switch (cause) {
 			case VANISHED, LAPSED, ADDRESS_TAKEN, STARTED_AGAIN ->
 				recordCrash(target, "the target list reports " + cause, now);
@@ -187,24 +187,24 @@
 	 * @param target the removed target
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void gone(ListedTarget target, long now) {
+	void handleRemoved(ListedTarget target, long now) {
 		if (this.directory.isFormerIncarnation(target)) {
 			recordCrash(target, "another incarnation is listed", now);
 		}
 		this.announcedShutdown.remove(target.incarnation());
 	}
 
-	void ranWhole(DirectCall call, long now) {
+	void recordCompleted(DirectCall call, long now) {
 		if (this.enabled) {
 			this.suspects.recordCompletion(call.request().digest(), now);
 		}
 	}
 
 	// Clears the request of a generation that has sent events for long enough.
-	void event(DirectCall call, Attempt attempt, long now) {
+	void handleEvent(DirectCall call, Attempt attempt, long now) {
 		if (!call.isCleared() && now - attempt.answeringAt() >= this.suspects.settings().clearAfterMillis()) {
 			call.clear();
-			ranWhole(call, now);
+			recordCompleted(call, now);
 		}
 	}
 
