--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/NeedsOracle.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/BackpressureOracle.java
@@ -23,7 +23,7 @@
  * The rate limit of a target does not change once set. Resumed generations are exempt
  * from the rate limit, but at most one is sent to a target within a backoff period.
  */
-final class NeedsOracle {
+final class BackpressureOracle {
 
 	private static final double[] LIMITS = { 0, 0.2, 1, 5, 50 };
 
@@ -43,7 +43,7 @@
 
 	private final Map<TargetIncarnation, Deque<Long>> sentAt = new HashMap<>();
 
-	NeedsOracle(String name, SplittableRandom random) {
+	BackpressureOracle(String name, SplittableRandom random) {
 		this.name = name;
 		this.random = random;
 	}
@@ -55,7 +55,7 @@
 	 * @param now the current time in milliseconds of virtual time
 	 * @return the signals; the rate limit and draining persist from earlier responses
 	 */
-	BackpressureSignals say(TargetIncarnation target, boolean isRejected, long now) {
+	BackpressureSignals nextSignals(TargetIncarnation target, boolean isRejected, long now) {
 		if (this.random.nextInt(4) == 0) {
 			this.limits.putIfAbsent(target, LIMITS[this.random.nextInt(LIMITS.length)]);
 		}
@@ -80,7 +80,7 @@
 	 * @param sent the attempt to check
 	 * @param now the current time in milliseconds of virtual time
 	 */
-	void ordered(Sent sent, long now) {
+	void checkOrdered(Sent sent, long now) {
 		TargetIncarnation target = sent.target().incarnation();
 		boolean isNew = sent.order().resume().isEmpty();
 		if (isNew) {
@@ -114,7 +114,7 @@
 	 * @param sent the attempt to check
 	 * @param now the current time in milliseconds of virtual time
 	 */
-	void goesOut(Sent sent, long now) {
+	void checkWritten(Sent sent, long now) {
 		TargetIncarnation target = sent.target().incarnation();
 		if (sent.order().resume().isEmpty()) {
 			assertWithMessage("%s: written to %s, which is draining", this.name, target).that(this.draining)
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
@@ -68,7 +68,7 @@
 	void respectsBackPressureSignals() {
 		for (long seed = 0; seed < SEEDS; seed++) {
 			Simulation simulation = new Simulation(seed);
-			simulation.needs = Optional.of(new NeedsOracle(simulation.name, new SplittableRandom(seed * 17 + 3)));
+			simulation.oracle = Optional.of(new BackpressureOracle(simulation.name, new SplittableRandom(seed * 17 + 3)));
 			simulation.run();
 		}
 	}
@@ -88,7 +88,7 @@
 		private Optional<SplittableRandom> suspicionRandom = Optional.empty();
 
 		/** Makes targets send back-pressure signals, if present. */
-		private Optional<NeedsOracle> needs = Optional.empty();
+		private Optional<BackpressureOracle> oracle = Optional.empty();
 
 		private final Map<Long, RequestDigest> digests = new HashMap<>();
 
@@ -245,7 +245,7 @@
 					.ifPresent((d) -> assertWithMessage("%s: call %s is quarantined", this.name, sent.call())
 						.that(this.harness.suspects.remainingQuarantineMillis(d, this.harness.now).isPresent())
 						.isFalse());
-				this.needs.ifPresent((n) -> n.goesOut(sent, this.harness.now));
+				this.oracle.ifPresent((n) -> n.checkWritten(sent, this.harness.now));
 				this.arrivals.merge(sent.call(), 1, Integer::sum);
 				this.atTarget.add(sent);
 			}
@@ -280,8 +280,8 @@
 
 		private void answer(Sent sent, int status, boolean isRejected) {
 			boolean isOpen = !this.harness.abandoned.contains(sent.call() + "/" + sent.attempt());
-			BackpressureSignals signals = this.needs.filter((n) -> isOpen)
-				.map((n) -> n.say(sent.target().incarnation(), isRejected, this.harness.now))
+			BackpressureSignals signals = this.oracle.filter((n) -> isOpen)
+				.map((n) -> n.nextSignals(sent.target().incarnation(), isRejected, this.harness.now))
 				.orElse(BackpressureSignals.NONE);
 			this.harness.answer(sent, status, isRejected, signals);
 		}
@@ -360,7 +360,7 @@
 			while (this.seenSent < this.harness.sent.size()) {
 				Sent sent = this.harness.sent.get(this.seenSent++);
 				checkAllowed(sent.call(), sent.target());
-				this.needs.ifPresent((n) -> n.ordered(sent, this.harness.now));
+				this.oracle.ifPresent((n) -> n.checkOrdered(sent, this.harness.now));
 				this.connecting.add(sent);
 			}
 			while (this.seenCopies < this.harness.copies.size()) {
