--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
@@ -175,7 +175,7 @@
 		if (usable >= sharing) {
 			return (int) (usable / sharing);
 		}
-		return (this.entries.before(target.id()) < (int) usable) ? 1 : 0;
+		return (this.entries.rankFor(target.id()) < (int) usable) ? 1 : 0;
 	}
 
 	private void record(ListedTarget target, String cause) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EntryRanks.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/EntryRanks.java
@@ -20,6 +20,6 @@
 	 * @param target the target's id
 	 * @return the count; 0 for the first entry
 	 */
-	int before(String target);
+	int rankFor(String target);
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
@@ -177,7 +177,7 @@
 	private record FixedRanks(int entries, int rank) implements EntryRanks {
 
 		@Override
-		public int before(String target) {
+		public int rankFor(String target) {
 			return this.rank;
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -398,7 +398,7 @@
 		}
 
 		@Override
-		public int before(String target) {
+		public int rankFor(String target) {
 			return DispatchHarness.this.before;
 		}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetChooserTests.java
@@ -180,7 +180,7 @@
 		}
 
 		@Override
-		public int before(String target) {
+		public int rankFor(String target) {
 			return 0;
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -218,11 +218,11 @@
 	// Return the position of this entry in the order of entries for a target, from 0 to
 	// 1.
 	double phase(String target) {
-		return (before(target) + 0.5) / entries();
+		return (rankFor(target) + 0.5) / entries();
 	}
 
 	@Override
-	public int before(String target) {
+	public int rankFor(String target) {
 		return this.gossip.rankFor(target);
 	}
 
