--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -71,7 +71,7 @@
 	}
 
 	Optional<ListedTarget> chooseLeastFull(DirectCall call, EngineSpec engine, long now) {
-		return this.chooser.chooseLeastFull(call.scope(), engine, now);
+		return this.chooser.chooseLeastUtilized(call.scope(), engine, now);
 	}
 
 	/**
@@ -84,7 +84,7 @@
 	 * @return the reserved share of its memory; above 1 if it would be overcommitted
 	 */
 	double fullnessWith(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
-		return this.chooser.fullness(target, engine, now)
+		return this.chooser.utilization(target, engine, now)
 				+ (double) heldTokens(call, Optional.of(engine)) / engine.memoryTokens();
 	}
 
@@ -121,7 +121,7 @@
 		this.audit.record(call.event(AuditKind.ROUTED, target.id(), "attempt " + attempt.number()
 				+ ", own requests there " + this.estimates.of(target).inFlight() + ", all requests "
 				+ Math.round(this.estimates.requests(target, now))
-				+ engine.map((e) -> ", memory " + Math.round(PERCENT * this.chooser.fullness(target, e, now)) + "%")
+				+ engine.map((e) -> ", memory " + Math.round(PERCENT * this.chooser.utilization(target, e, now)) + "%")
 					.orElse("")
 				+ ", directory of " + this.directory.size() + ", left out "
 				+ this.eligibility.countExcluded(call.scope(), now)
@@ -166,9 +166,9 @@
 	// Drops a live copy if its memory is needed for generations.
 	private void dropBackupIfCrowded(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
 		attempt.backup()
-			.filter((b) -> this.chooser.fullness(b, engine, now) > CROWDED_FULLNESS)
+			.filter((b) -> this.chooser.utilization(b, engine, now) > CROWDED_FULLNESS)
 			.ifPresent((b) -> dropBackup(call, attempt,
-					"memory there is " + Math.round(PERCENT * this.chooser.fullness(b, engine, now)) + "% reserved"));
+					"memory there is " + Math.round(PERCENT * this.chooser.utilization(b, engine, now)) + "% reserved"));
 	}
 
 	/**
@@ -230,7 +230,7 @@
 		Optional<GenerationSize> size = call.request().work();
 		if (!this.mechanisms.use(Mechanism.RUNNING_COPIES) || !engine.backups() || size.isEmpty()
 				|| size.get().isShort()
-				|| this.chooser.fleetFullness(target.service(), engine, now) > MAX_FLEET_UTILIZATION) {
+				|| this.chooser.fleetUtilization(target.service(), engine, now) > MAX_FLEET_UTILIZATION) {
 			return Optional.empty();
 		}
 		return this.chooser.chooseBackup(target, call.scopeWithout(Set.of()), engine, size.get().reservedTokens(0),
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -220,7 +220,7 @@
 
 	private void dropIfFleetFull(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
 		boolean isFleetFull = call.standby().isPresent()
-				&& this.chooser.fleetFullness(attempt.target().service(), engine, now) > MAX_FLEET_UTILIZATION_KEPT;
+				&& this.chooser.fleetUtilization(attempt.target().service(), engine, now) > MAX_FLEET_UTILIZATION_KEPT;
 		if (isFleetFull) {
 			record(call, call.standby().get().destination(),
 					"standby copy released: the memory utilization of the fleet is too high");
@@ -243,7 +243,7 @@
 
 	private Optional<ListedTarget> chooseDestination(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
 		ListedTarget source = attempt.target();
-		if (this.chooser.fleetFullness(source.service(), engine, now) > MAX_FLEET_UTILIZATION_NEW) {
+		if (this.chooser.fleetUtilization(source.service(), engine, now) > MAX_FLEET_UTILIZATION_NEW) {
 			return Optional.empty();
 		}
 		return this.chooser.chooseBackup(source, call.scopeWithout(Set.of()), engine, attempt.heldTokens(),
@@ -267,7 +267,7 @@
 	void dropIfUseless(DirectCall call, EngineSpec engine, long now) {
 		boolean isUnusable = call.standby()
 			.filter((s) -> !this.eligibility.isSound(s.destination(), now)
-					|| this.chooser.fullness(s.destination(), engine, now) > AttemptSender.CROWDED_FULLNESS)
+					|| this.chooser.utilization(s.destination(), engine, now) > AttemptSender.CROWDED_FULLNESS)
 			.isPresent();
 		if (isUnusable) {
 			record(call, call.standby().get().destination(),
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
@@ -175,8 +175,8 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the engine, or empty if no engine is eligible
 	 */
-	public Optional<ListedTarget> chooseLeastFull(CandidateFilter filter, EngineSpec engine, long now) {
-		return lowestScored(candidates(filter, now), (t) -> fullness(t, engine, now));
+	public Optional<ListedTarget> chooseLeastUtilized(CandidateFilter filter, EngineSpec engine, long now) {
+		return lowestScored(candidates(filter, now), (t) -> utilization(t, engine, now));
 	}
 
 	private boolean hasLocalChoice(List<ListedTarget> engines) {
@@ -204,7 +204,7 @@
 			long now) {
 		double score = engineScore(target, engine, tokens, source.dataCentre(), REMOTE_PENALTY_COPY, now);
 		score -= Math.min(AMPLE_MEMORY_UTILIZATION,
-				fullness(target, engine, now) + (double) tokens / engine.memoryTokens());
+				utilization(target, engine, now) + (double) tokens / engine.memoryTokens());
 		if (this.estimates.isCopying(target)) {
 			score += BUSY_LINK_PENALTY;
 		}
@@ -234,7 +234,7 @@
 			double maxUtilization, long now) {
 		List<ListedTarget> others = candidates(filter, now).stream().filter((t) -> !t.id().equals(source.id())).toList();
 		return lowestScored(others, (t) -> engineScore(t, engine, tokens, source.dataCentre(), 0, now))
-			.filter((t) -> fullness(t, engine, now) + (double) tokens / engine.memoryTokens() <= maxUtilization);
+			.filter((t) -> utilization(t, engine, now) + (double) tokens / engine.memoryTokens() <= maxUtilization);
 	}
 
 	/**
@@ -244,10 +244,10 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the fraction in use; 1 if no engine accepts work
 	 */
-	public double fleetFullness(String service, EngineSpec engine, long now) {
+	public double fleetUtilization(String service, EngineSpec engine, long now) {
 		return this.eligibility.serving(service)
 			.stream()
-			.mapToDouble((t) -> fullness(t, engine, now))
+			.mapToDouble((t) -> utilization(t, engine, now))
 			.average()
 			.orElse(1);
 	}
@@ -259,7 +259,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the fraction in use or reserved; above 1 if memory is overcommitted
 	 */
-	public double fullness(ListedTarget target, EngineSpec engine, long now) {
+	public double utilization(ListedTarget target, EngineSpec engine, long now) {
 		return this.estimates.reservedTokens(target, this.meanTokens, now) / engine.memoryTokens();
 	}
 
