--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -108,7 +108,7 @@
 	boolean resumeAtStandby(DirectCall call, String cause, long now) {
 		Optional<StandbyCopy> standby = call.standby()
 			.filter((s) -> !s.handle().isEmpty() && this.eligibility.takesWork(s.destination(), now));
-		Optional<GenerationMove> move = this.mover.copyAtHand(call, now);
+		Optional<GenerationMove> move = this.mover.partialCopy(call, now);
 		if ((standby.isEmpty() && move.isEmpty()) || this.poison.isQuarantined(call, now)
 				|| !this.retries.tryAcquire(call.request().service(), now)) {
 			return false;
@@ -117,7 +117,7 @@
 		ListedTarget destination = standby.map(StandbyCopy::destination).orElseGet(() -> move.get().destination());
 		String handle = standby.map(StandbyCopy::handle).orElseGet(() -> move.get().handle());
 		this.standbys.take(call);
-		this.mover.taken(call, now);
+		this.mover.endMove(call, now);
 		this.audit.record(call.event(AuditKind.MOVED, source.id(),
 				cause + ": resumes at its last copy at " + destination.id() + " after event " + call.lastEvent()));
 		ResumePoint point = new ResumePoint(source.address(), handle, call.lastEventText());
@@ -162,7 +162,7 @@
 	void switchToSuccessor(DirectCall call, long now) {
 		call.attempt().ifPresent((a) -> this.sender.abandon(call, a));
 		this.standbys.drop(call);
-		this.mover.ended(call, now);
+		this.mover.release(call, now);
 		call.promoteSuccessor();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -361,7 +361,7 @@
 			return;
 		}
 		DirectCall call = this.calls.get(number);
-		if (!call.isSuccessor(found.get()) && this.mover.expectsEnd(call, now)) {
+		if (!call.isSuccessor(found.get()) && this.mover.handleSourceClosed(call, now)) {
 			return;
 		}
 		this.poison.handleBrokenConnection(call, found.get(), now);
@@ -421,8 +421,8 @@
 	 */
 	public void copied(long number, CopyOrder order, CopyResult result, long now) {
 		DirectCall call = this.calls.get(number);
-		if (call != null && this.mover.ordered(call, order)) {
-			this.mover.copied(call, order, result, now);
+		if (call != null && this.mover.issued(call, order)) {
+			this.mover.handleCopyResult(call, order, result, now);
 		}
 		else if (call != null) {
 			this.standbys.copied(call, order, result, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -111,7 +111,7 @@
 	 * @return {@code true} if the end was expected because the generation was ordered to
 	 * stop
 	 */
-	boolean expectsEnd(DirectCall call, long now) {
+	boolean handleSourceClosed(DirectCall call, long now) {
 		Optional<GenerationMove> move = call.copying();
 		if (move.isEmpty() || move.get().phase() == CopyPhase.WAITING
 				|| move.get().phase() == CopyPhase.AHEAD) {
@@ -130,14 +130,14 @@
 	 * @param order the copy order
 	 * @return {@code false} if an earlier move or a standby copy issued the order
 	 */
-	boolean ordered(DirectCall call, CopyOrder order) {
+	boolean issued(DirectCall call, CopyOrder order) {
 		return call.copying()
 			.filter((c) -> c.phase() != CopyPhase.WAITING && c.source().isSameIncarnation(order.source())
 					&& c.destination().isSameIncarnation(order.destination()))
 			.isPresent();
 	}
 
-	void copied(DirectCall call, CopyOrder order, CopyResult result, long now) {
+	void handleCopyResult(DirectCall call, CopyOrder order, CopyResult result, long now) {
 		GenerationMove move = call.copying().get();
 		record(call, move, (order.stop() ? "final copy" : "copy while running") + " to " + order.destination().id()
 				+ ": " + result.outcome() + " in " + (now - move.orderedAt()) + " ms");
@@ -157,7 +157,7 @@
 	 * @param call the call that is moved
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void ended(DirectCall call, long now) {
+	void release(DirectCall call, long now) {
 		call.copying().ifPresent((c) -> {
 			if (!c.handle().isEmpty() && c.phase() != CopyPhase.STOPPED) {
 				this.outputs.releaseCopy(c.source(), c.handle());
@@ -171,7 +171,7 @@
 	 * @param call the call that is moved
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void taken(DirectCall call, long now) {
+	void endMove(DirectCall call, long now) {
 		call.copying().ifPresent((c) -> removeFromQueue(call, c, now));
 	}
 
@@ -205,7 +205,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the move whose destination holds a partial copy and accepts work, or empty
 	 */
-	Optional<GenerationMove> copyAtHand(DirectCall call, long now) {
+	Optional<GenerationMove> partialCopy(DirectCall call, long now) {
 		return call.copying()
 			.filter((c) -> c.findPartialCopyHolder().filter((d) -> this.resumption.takesWork(d, now)).isPresent());
 	}
