--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -562,12 +562,12 @@
 		}
 
 		@Override
-		public void lost(DirectCall call, String cause, long now) {
+		public void handleLost(DirectCall call, String cause, long now) {
 			Dispatcher.this.completion.endAsLost(call, cause, now);
 		}
 
 		@Override
-		public boolean takesWork(ListedTarget target, long now) {
+		public boolean acceptsWork(ListedTarget target, long now) {
 			return Dispatcher.this.eligibility.takesWork(target, now);
 		}
 
@@ -577,7 +577,7 @@
 		}
 
 		@Override
-		public boolean isOver(ListedTarget target) {
+		public boolean isReplaced(ListedTarget target) {
 			return Dispatcher.this.directory.isFormerIncarnation(target);
 		}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -207,7 +207,7 @@
 	 */
 	Optional<GenerationMove> partialCopy(DirectCall call, long now) {
 		return call.copying()
-			.filter((c) -> c.findPartialCopyHolder().filter((d) -> this.resumption.takesWork(d, now)).isPresent());
+			.filter((c) -> c.findPartialCopyHolder().filter((d) -> this.resumption.acceptsWork(d, now)).isPresent());
 	}
 
 	private void schedulePoll(MoveQueue queue, long due) {
@@ -227,7 +227,7 @@
 		standby.ifPresent((s) -> move.handle(s.handle()));
 		Optional<ListedTarget> partialCopy = standby.map(StandbyCopy::destination)
 			.or(move::findPartialCopyHolder)
-			.filter((d) -> !move.triedIds().contains(d.id()) && this.resumption.takesWork(d, now));
+			.filter((d) -> !move.triedIds().contains(d.id()) && this.resumption.acceptsWork(d, now));
 		if (partialCopy.isEmpty()) {
 			releasePartialCopy(move);
 		}
@@ -263,7 +263,7 @@
 		switch (result.outcome()) {
 			case COPIED -> {
 				if (this.resumption.isEvacuated(move.destination())
-						|| this.resumption.isOver(move.destination())) {
+						|| this.resumption.isReplaced(move.destination())) {
 					retryAtOtherEngine(queue, call, move, now);
 					return;
 				}
@@ -342,10 +342,10 @@
 		}
 		if (move.handle().isEmpty()) {
 			removeFromQueue(call, move, now);
-			this.resumption.lost(call, "the generation was stopped and its copy is unusable", now);
+			this.resumption.handleLost(call, "the generation was stopped and its copy is unusable", now);
 			return;
 		}
-		if (result.outcome() != CopyResult.Outcome.NO_ANSWER && !this.resumption.isOver(move.source())) {
+		if (result.outcome() != CopyResult.Outcome.NO_ANSWER && !this.resumption.isReplaced(move.source())) {
 			resumeFromSource(move);
 		}
 		move.setPhase(CopyPhase.STOPPED);
@@ -362,12 +362,12 @@
 		if (call.copying().orElse(null) != move) {
 			return;
 		}
-		if (this.resumption.isOver(move.destination())) {
+		if (this.resumption.isReplaced(move.destination())) {
 			resumeFromSource(move);
 		}
-		if (this.resumption.isOver(move.destination())) {
+		if (this.resumption.isReplaced(move.destination())) {
 			removeFromQueue(call, move, now);
-			this.resumption.lost(call, "both engines of its move started again", now);
+			this.resumption.handleLost(call, "both engines of its move started again", now);
 			return;
 		}
 		ListedTarget destination = move.destination();
@@ -432,7 +432,7 @@
 		 * @param cause the cause for the audit record
 		 * @param now the current time in milliseconds of the monotonic clock
 		 */
-		void lost(DirectCall call, String cause, long now);
+		void handleLost(DirectCall call, String cause, long now);
 
 		/**
 		 * Determine whether a target may receive work.
@@ -441,7 +441,7 @@
 		 * @return {@code true} if the target is listed, not draining and not suspected
 		 * unreachable
 		 */
-		boolean takesWork(ListedTarget target, long now);
+		boolean acceptsWork(ListedTarget target, long now);
 
 		/**
 		 * Determine whether a target must not receive work although it stays listed.
@@ -455,7 +455,7 @@
 		 * @param target the incarnation to check
 		 * @return {@code true} if its generations and copies are lost
 		 */
-		boolean isOver(ListedTarget target);
+		boolean isReplaced(ListedTarget target);
 
 		/**
 		 * Return the capabilities of the engines that serve a call.
