--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
@@ -93,7 +93,7 @@
 
 	// Removes a call from the open ones; the invoker answers the caller.
 	void finish(DirectCall call, AuditKind kind, String cause, long now) {
-		this.standbys.drop(call);
+		this.standbys.release(call);
 		this.mover.release(call, now);
 		call.successor().ifPresent((a) -> this.sender.abandon(call, a));
 		call.attempt().ifPresent((a) -> this.sender.end(call, a));
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -95,7 +95,7 @@
 				|| !this.retries.tryAcquire(call.request().service(), now)) {
 			return false;
 		}
-		this.standbys.drop(call);
+		this.standbys.release(call);
 		this.audit.record(call.event(AuditKind.MOVED, call.attempt().get().target().id(),
 				cause + ": resumes at its live copy at " + backup.get().id() + " after event " + call.lastEvent()));
 		ResumePoint point = new ResumePoint(backup.get().address(), call.request().id(), call.lastEventText());
@@ -116,7 +116,7 @@
 		ListedTarget source = call.attempt().get().target();
 		ListedTarget destination = standby.map(StandbyCopy::destination).orElseGet(() -> move.get().destination());
 		String handle = standby.map(StandbyCopy::handle).orElseGet(() -> move.get().handle());
-		this.standbys.take(call);
+		this.standbys.detach(call);
 		this.mover.endMove(call, now);
 		this.audit.record(call.event(AuditKind.MOVED, source.id(),
 				cause + ": resumes at its last copy at " + destination.id() + " after event " + call.lastEvent()));
@@ -161,7 +161,7 @@
 	// now on.
 	void switchToSuccessor(DirectCall call, long now) {
 		call.attempt().ifPresent((a) -> this.sender.abandon(call, a));
-		this.standbys.drop(call);
+		this.standbys.release(call);
 		this.mover.release(call, now);
 		call.promoteSuccessor();
 	}
@@ -194,7 +194,7 @@
 		call.attempt()
 			.filter((a) -> a.backup().filter(former::isSameIncarnation).isPresent())
 			.ifPresent((a) -> this.sender.dropBackup(call, a, "its engine started again"));
-		call.standby().filter((s) -> s.destination().isSameIncarnation(former)).ifPresent((s) -> this.standbys.drop(call));
+		call.standby().filter((s) -> s.destination().isSameIncarnation(former)).ifPresent((s) -> this.standbys.release(call));
 		call.stoppedAt(call.stoppedAt().filter((t) -> !t.isSameIncarnation(former)));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -317,7 +317,7 @@
 		call.recordEvent(id, now);
 		Optional<EngineSpec> engine = engine(call);
 		this.sender.recordGrowth(call, found.get(), engine, now);
-		engine.ifPresent((e) -> this.standbys.dropIfUseless(call, e, now));
+		engine.ifPresent((e) -> this.standbys.releaseIfUnusable(call, e, now));
 		return true;
 	}
 
@@ -425,7 +425,7 @@
 			this.mover.handleCopyResult(call, order, result, now);
 		}
 		else if (call != null) {
-			this.standbys.copied(call, order, result, now);
+			this.standbys.handleCopyResult(call, order, result, now);
 		}
 		else if (!result.handle().isEmpty()) {
 			this.outputs.releaseCopy(order.source(), result.handle());
@@ -444,7 +444,7 @@
 		if (this.directory.isFormerIncarnation(target)) {
 			return;
 		}
-		this.standbys.leaving(target, now);
+		this.standbys.handleDraining(target, now);
 		this.estimates.of(target).markDraining(now);
 		for (DirectCall call : List.copyOf(this.calls.values())) {
 			if (call.attempt().filter((a) -> a.isAnswering() && a.target().isSameIncarnation(target)).isPresent()) {
@@ -499,7 +499,7 @@
 			call.attempt()
 				.filter((a) -> a.backup().filter((b) -> b.dataCentre().equals(dataCentre)).isPresent())
 				.ifPresent((a) -> this.sender.dropBackup(call, a, "its data centre is evacuated"));
-			engine(call).ifPresent((e) -> this.standbys.dropIfUseless(call, e, now));
+			engine(call).ifPresent((e) -> this.standbys.releaseIfUnusable(call, e, now));
 		}
 	}
 
@@ -517,7 +517,7 @@
 		attempt.markAnswering(now);
 		this.outcomes.recordSuccess(attempt, now);
 		call.recordPossibleRun();
-		this.standbys.watch(call, attempt, engine(call), now);
+		this.standbys.schedule(call, attempt, engine(call), now);
 		// The request may have started after the reclaim notice of its engine, and only a
 		// generation that executes can be moved. The first event may be one that the
 		// caller has already.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -99,7 +99,7 @@
 	 * @param target the draining engine
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void leaving(ListedTarget target, long now) {
+	void handleDraining(ListedTarget target, long now) {
 		this.movesOnlyUntil.put(target.dataCentre(), now + MOVES_ONLY_MILLIS);
 	}
 
@@ -110,7 +110,7 @@
 	 * @param engine the capabilities of the service's engines, empty if unknown
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void watch(DirectCall call, Attempt attempt, Optional<EngineSpec> engine, long now) {
+	void schedule(DirectCall call, Attempt attempt, Optional<EngineSpec> engine, long now) {
 		boolean isLong = call.request().work().filter((w) -> !w.isShort()).isPresent();
 		if (this.enabled && isLong && engine.filter(EngineSpec::moves).isPresent()) {
 			scheduleRefresh(call, attempt, engine.get(), now + MIN_RUNNING_MILLIS);
@@ -124,7 +124,7 @@
 	 * @param result the outcome and the handle of the copy
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void copied(DirectCall call, CopyOrder order, CopyResult result, long now) {
+	void handleCopyResult(DirectCall call, CopyOrder order, CopyResult result, long now) {
 		endActiveCopy(call);
 		StandbyCopy standby = call.standby().orElse(null);
 		if (standby == null || !standby.destination().isSameIncarnation(order.destination())) {
@@ -141,16 +141,16 @@
 		if (result.outcome() != CopyResult.Outcome.NO_ANSWER) {
 			this.estimates.of(order.destination()).markFull(now + StreamMover.REJECTED_COPY_BACKOFF_MILLIS);
 		}
-		drop(call);
+		release(call);
 	}
 
 	/**
 	 * Release the standby copy of a call, if there is one.
 	 * @param call the call of the generation
 	 */
-	void drop(DirectCall call) {
+	void release(DirectCall call) {
 		call.standby().ifPresent((s) -> {
-			take(call);
+			detach(call);
 			if (!s.handle().isEmpty()) {
 				this.outputs.releaseCopy(s.source(), s.handle());
 			}
@@ -163,7 +163,7 @@
 	 * @param call the call of the generation
 	 * @return the copy, or empty if there is none
 	 */
-	Optional<StandbyCopy> take(DirectCall call) {
+	Optional<StandbyCopy> detach(DirectCall call) {
 		Optional<StandbyCopy> standby = call.standby();
 		standby.ifPresent((s) -> {
 			this.estimates.update(s.destination(), (b) -> b.addReservedTokens(-s.reservedTokens()));
@@ -194,7 +194,7 @@
 			scheduleRefresh(call, attempt, engine, now + REFRESH_INTERVAL_MILLIS);
 			return;
 		}
-		dropIfUseless(call, engine, now);
+		releaseIfUnusable(call, engine, now);
 		dropIfFleetFull(call, attempt, engine, now);
 		if (this.activeCall.isPresent() || call.copying().isPresent()) {
 			scheduleRefresh(call, attempt, engine, now + BUSY_DELAY_MILLIS);
@@ -224,7 +224,7 @@
 		if (isFleetFull) {
 			record(call, call.standby().get().destination(),
 					"standby copy released: the memory utilization of the fleet is too high");
-			drop(call);
+			release(call);
 		}
 	}
 
@@ -264,7 +264,7 @@
 	 * @param engine the capabilities of the service's engines
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void dropIfUseless(DirectCall call, EngineSpec engine, long now) {
+	void releaseIfUnusable(DirectCall call, EngineSpec engine, long now) {
 		boolean isUnusable = call.standby()
 			.filter((s) -> !this.eligibility.isSound(s.destination(), now)
 					|| this.chooser.utilization(s.destination(), engine, now) > AttemptSender.CROWDED_FULLNESS)
@@ -272,7 +272,7 @@
 		if (isUnusable) {
 			record(call, call.standby().get().destination(),
 					"standby copy released: its engine is leaving, evacuated, unreachable or short of memory");
-			drop(call);
+			release(call);
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -223,7 +223,7 @@
 		GenerationMove move = call.copying().get();
 		Optional<EngineSpec> engine = this.resumption.engine(call);
 		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
-		Optional<StandbyCopy> standby = this.standbys.take(call);
+		Optional<StandbyCopy> standby = this.standbys.detach(call);
 		standby.ifPresent((s) -> move.handle(s.handle()));
 		Optional<ListedTarget> partialCopy = standby.map(StandbyCopy::destination)
 			.or(move::findPartialCopyHolder)
