--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -167,14 +167,14 @@
 	}
 
 	void recordSuccess(Attempt attempt, long now) {
-		this.estimates.of(attempt.target()).quality().recordGood(now - attempt.sentAt(), now);
+		this.estimates.of(attempt.target()).quality().recordSuccess(now - attempt.sentAt(), now);
 	}
 
 	private void recordFailure(ListedTarget target, String cause, long now) {
 		TargetQuality quality = this.estimates.of(target).quality();
-		if (quality.recordBad(this.estimates.peersFailureRate(target, now), now)) {
+		if (quality.recordFailure(this.estimates.peersFailureRate(target, now), now)) {
 			this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, target.id(), target.id(),
-					"ejected: " + cause + ", recent bad answers " + Math.round(100 * quality.badShare(now)) + "%"));
+					"ejected: " + cause + ", recent bad answers " + Math.round(100 * quality.failureRate(now)) + "%"));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
@@ -289,7 +289,7 @@
 		double slowness = this.mechanisms.use(Mechanism.LEARNED_SPEED)
 				? Math.min(MAX_SLOWNESS_FACTOR, response / fastest) : 1;
 		double load = (this.estimates.requests(target, now) + 1) / Math.max(1, target.slots());
-		double score = load * slowness + estimate.quality().badShare(now) + jitter();
+		double score = load * slowness + estimate.quality().failureRate(now) + jitter();
 		if (estimate.isFull(now)) {
 			score += FULL_PENALTY;
 		}
@@ -301,7 +301,7 @@
 		TargetEstimate estimate = this.estimates.of(target);
 		double score = (this.estimates.reservedTokens(target, this.meanTokens, now) + tokens) / engine.memoryTokens();
 		score += this.estimates.pendingPromptTokens(target) / THOUSAND * UNREAD_KILOTOKEN_PENALTY;
-		score += estimate.waiting(now) * QUEUED_REQUEST_PENALTY + estimate.quality().badShare(now) + jitter();
+		score += estimate.waiting(now) * QUEUED_REQUEST_PENALTY + estimate.quality().failureRate(now) + jitter();
 		if (estimate.isFull(now)) {
 			score += FULL_PENALTY;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetEstimates.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetEstimates.java
@@ -251,7 +251,7 @@
 		return this.byIncarnation.values()
 			.stream()
 			.filter((b) -> b.target().service().equals(target.service()) && !b.target().id().equals(target.id()))
-			.mapToDouble((b) -> b.quality().badShare(now))
+			.mapToDouble((b) -> b.quality().failureRate(now))
 			.average()
 			.orElse(0);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetQuality.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetQuality.java
@@ -49,7 +49,7 @@
 	 * @param millis the response time in milliseconds
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	public void recordGood(long millis, long now) {
+	public void recordSuccess(long millis, long now) {
 		decay(now);
 		this.successes++;
 		// Responses to requests sent before the ejection do not end it.
@@ -63,17 +63,17 @@
 
 	/**
 	 * Record a failed or missing response.
-	 * @param peersBadShare the share of failed responses among the target's peers, from 0
+	 * @param peersFailureRate the share of failed responses among the target's peers, from 0
 	 * to 1
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return {@code true} if the target is newly ejected
 	 */
-	public boolean recordBad(double peersBadShare, long now) {
+	public boolean recordFailure(double peersFailureRate, long now) {
 		decay(now);
 		this.failures++;
 		boolean failedProbe = this.probeInProgress;
 		this.probeInProgress = false;
-		boolean isWorse = this.failures >= MIN_FAILURES && badShare(now) >= peersBadShare + MIN_EXCESS_OVER_PEERS;
+		boolean isWorse = this.failures >= MIN_FAILURES && failureRate(now) >= peersFailureRate + MIN_EXCESS_OVER_PEERS;
 		if (failedProbe || (isWorse && now >= this.ejectedUntil)) {
 			this.ejectionMillis = (this.ejectionMillis != 0) ? Math.min(MAX_EJECTION_MILLIS, this.ejectionMillis * 2)
 					: INITIAL_EJECTION_MILLIS;
@@ -120,7 +120,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the share, from 0 to 1; 0 without responses
 	 */
-	public double badShare(long now) {
+	public double failureRate(long now) {
 		decay(now);
 		double all = this.successes + this.failures;
 		return (all > 0) ? this.failures / all : 0;
