--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -116,7 +116,7 @@
 	 */
 	void handleNotAccepted(DirectCall call, Attempt attempt, String cause, long now) {
 		boolean wasSuccessor = call.isSuccessor(attempt);
-		this.sender.end(call, attempt);
+		this.sender.release(call, attempt);
 		if (wasSuccessor) {
 			this.continuation.continueWithoutCopy(call, now);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -92,12 +92,12 @@
 		}
 		Optional<ListedTarget> target = this.sender.choose(call, this.engines.apply(call), now);
 		if (target.isEmpty()) {
-			this.completion.refuse(call, RefusalReason.NO_TARGET, this.sender.shortage(call, now), now);
+			this.completion.refuse(call, RefusalReason.NO_TARGET, this.sender.findNoTargetReason(call, now), now);
 			return;
 		}
 		Optional<EngineSpec> engine = this.engines.apply(call).filter((e) -> isSubjectToAdmission(call));
 		if (engine.isPresent() && memoryWaitMillis(call, target.get(), engine.get(), now).isPresent()) {
-			target = this.sender.chooseLeastFull(call, engine.get(), now);
+			target = this.sender.chooseLeastUtilized(call, engine.get(), now);
 			OptionalLong wait = memoryWaitMillis(call, target.get(), engine.get(), now);
 			if (wait.isPresent()) {
 				long retryAfter = retryAfterMillis(call, wait.getAsLong(), engine.get(), now);
@@ -119,7 +119,7 @@
 
 	// The time until memory is available, or empty if the generation can start in time.
 	private OptionalLong memoryWaitMillis(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
-		return this.admission.waitMillis(this.sender.fullnessWith(call, target, engine, now),
+		return this.admission.waitMillis(this.sender.utilizationWith(call, target, engine, now),
 				call.request().route().priority(), call.request().route().goalMillis(), call.dueAt() - now);
 	}
 
@@ -167,7 +167,7 @@
 		return isAllowed && !this.poison.isQuarantined(call, now) && call.runs() < request.route().maxAttempts()
 				&& call.attempts() < this.settings.maxAttempts()
 				&& call.dueAt() - now > request.route().goalMillis() / this.settings.timeShareToTryAgain()
-				&& this.sender.hasUntried(call, attempt.target(), now)
+				&& this.sender.hasAlternative(call, attempt.target(), now)
 				&& this.retryBudget.tryAcquire(request.service(), now);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -27,7 +27,7 @@
 	private static final double MAX_FLEET_UTILIZATION = 0.6;
 
 	/** Memory utilization of an engine above which its live copies are dropped. */
-	static final double CROWDED_FULLNESS = 0.9;
+	static final double MAX_UTILIZATION_WITH_COPIES = 0.9;
 
 	/**
 	 * Granularity in which the growth of a generation is recorded; limits the number of
@@ -70,7 +70,7 @@
 		return this.chooser.choosePlain(call.scope(), now);
 	}
 
-	Optional<ListedTarget> chooseLeastFull(DirectCall call, EngineSpec engine, long now) {
+	Optional<ListedTarget> chooseLeastUtilized(DirectCall call, EngineSpec engine, long now) {
 		return this.chooser.chooseLeastUtilized(call.scope(), engine, now);
 	}
 
@@ -83,9 +83,9 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the reserved share of its memory; above 1 if it would be overcommitted
 	 */
-	double fullnessWith(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
+	double utilizationWith(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
 		return this.chooser.utilization(target, engine, now)
-				+ (double) heldTokens(call, Optional.of(engine)) / engine.memoryTokens();
+				+ (double) reservedTokens(call, Optional.of(engine)) / engine.memoryTokens();
 	}
 
 	// Sums the memory of all engines of a service that accept requests, in tokens.
@@ -93,11 +93,11 @@
 		return (double) this.eligibility.serving(service).size() * engine.memoryTokens();
 	}
 
-	NoTargetReason shortage(DirectCall call, long now) {
+	NoTargetReason findNoTargetReason(DirectCall call, long now) {
 		return this.eligibility.shortage(call.scope(), now);
 	}
 
-	boolean hasUntried(DirectCall call, ListedTarget current, long now) {
+	boolean hasAlternative(DirectCall call, ListedTarget current, long now) {
 		return this.eligibility.targets(call.scope(), now).stream().anyMatch((t) -> !t.id().equals(current.id()));
 	}
 
@@ -128,9 +128,9 @@
 				+ backup.map((b) -> ", copy grows at " + b.id()).orElse("")));
 		this.estimates.update(target, TargetEstimate::requestStarted);
 		this.eligibility.sent(target, now);
-		reserve(attempt, heldTokens(call, engine));
+		reserve(attempt, reservedTokens(call, engine));
 		if (resume.isEmpty()) {
-			updateUnread(attempt, call.request().work().map(GenerationSize::promptTokens).orElse(0L));
+			updatePendingPromptTokens(attempt, call.request().work().map(GenerationSize::promptTokens).orElse(0L));
 		}
 		this.outputs.send(call.number(), attempt.number(), target, new SendParameters(call.request().account(),
 				call.request().route().priority(), resume, backup.map(ListedTarget::address)));
@@ -142,9 +142,9 @@
 	 * @param call the request being dispatched
 	 * @param attempt the attempt that ended
 	 */
-	void end(DirectCall call, Attempt attempt) {
+	void release(DirectCall call, Attempt attempt) {
 		reserve(attempt, 0);
-		updateUnread(attempt, 0);
+		updatePendingPromptTokens(attempt, 0);
 		this.estimates.update(attempt.target(), TargetEstimate::requestEnded);
 		call.end(attempt);
 	}
@@ -158,15 +158,15 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void recordGrowth(DirectCall call, Attempt attempt, Optional<EngineSpec> engine, long now) {
-		updateUnread(attempt, 0);
-		reserve(attempt, heldTokens(call, engine));
+		updatePendingPromptTokens(attempt, 0);
+		reserve(attempt, reservedTokens(call, engine));
 		engine.ifPresent((e) -> dropBackupIfCrowded(call, attempt, e, now));
 	}
 
 	// Drops a live copy if its memory is needed for generations.
 	private void dropBackupIfCrowded(DirectCall call, Attempt attempt, EngineSpec engine, long now) {
 		attempt.backup()
-			.filter((b) -> this.chooser.utilization(b, engine, now) > CROWDED_FULLNESS)
+			.filter((b) -> this.chooser.utilization(b, engine, now) > MAX_UTILIZATION_WITH_COPIES)
 			.ifPresent((b) -> dropBackup(call, attempt,
 					"memory there is " + Math.round(PERCENT * this.chooser.utilization(b, engine, now)) + "% reserved"));
 	}
@@ -199,10 +199,10 @@
 		attempt.backup()
 			.filter((b) -> call.successor().filter((s) -> s.target().id().equals(b.id())).isEmpty())
 			.ifPresent((b) -> this.outputs.releaseCopy(b, call.request().id()));
-		end(call, attempt);
+		release(call, attempt);
 	}
 
-	private static long heldTokens(DirectCall call, Optional<EngineSpec> engine) {
+	private static long reservedTokens(DirectCall call, Optional<EngineSpec> engine) {
 		long generated = (call.lastEvent() + 1) * engine.map(EngineSpec::tokensPerEvent).orElse(0);
 		long roundedDown = generated - generated % GROWTH_STEP_TOKENS;
 		return call.request().work().map((w) -> w.reservedTokens(roundedDown)).orElse(0L);
@@ -218,7 +218,7 @@
 		attempt.backup().ifPresent((t) -> this.estimates.update(t, (b) -> b.addReservedTokens(change)));
 	}
 
-	private void updateUnread(Attempt attempt, long tokens) {
+	private void updatePendingPromptTokens(Attempt attempt, long tokens) {
 		long change = tokens - attempt.unreadTokens();
 		if (change != 0) {
 			attempt.setUnreadTokens(tokens);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
@@ -96,7 +96,7 @@
 		this.standbys.release(call);
 		this.mover.release(call, now);
 		call.successor().ifPresent((a) -> this.sender.abandon(call, a));
-		call.attempt().ifPresent((a) -> this.sender.end(call, a));
+		call.attempt().ifPresent((a) -> this.sender.release(call, a));
 		this.calls.remove(call.number());
 		this.audit.record(call.event(kind, call.lastTarget(), cause));
 	}
