--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -86,7 +86,7 @@
 		if (this.poison.refuse(call, now)) {
 			return;
 		}
-		if (call.arrivals() >= this.settings.maxAttempts() || call.attempts() >= this.settings.maxConnections()) {
+		if (call.timesSent() >= this.settings.maxAttempts() || call.attempts() >= this.settings.maxConnections()) {
 			this.completion.refuse(call, RefusalReason.OVERLOADED, "no target accepted the request", now);
 			return;
 		}
@@ -106,11 +106,11 @@
 				return;
 			}
 		}
-		if (call.arrivals() > 0 && !this.retryBudget.tryAcquire(call.request().service(), now)) {
+		if (call.timesSent() > 0 && !this.retryBudget.tryAcquire(call.request().service(), now)) {
 			this.completion.refuse(call, RefusalReason.OVERLOADED, "the retry budget is exhausted", now);
 			return;
 		}
-		call.use(startAttempt(call, target.get(), Optional.empty(), now));
+		call.setAttempt(startAttempt(call, target.get(), Optional.empty(), now));
 	}
 
 	private boolean isSubjectToAdmission(DirectCall call) {
@@ -132,7 +132,7 @@
 			.map((w) -> this.admission.memoryReleaseMillis(w, ownMemory))
 			.orElse(0.0);
 		return this.retryAfterSchedule.nextRetryAfterMillis(call.request().service(), call.request().route().priority(),
-				waitMillis, releasedIn, call.patienceEndsAt() - now, now);
+				waitMillis, releasedIn, call.callerTimeoutAt() - now, now);
 	}
 
 	// Records the duration of a generation that completed.
@@ -164,7 +164,7 @@
 		DirectRequest request = call.request();
 		boolean isAllowed = Verdict.MAY_HAVE_RUN.allowsAnotherAttempt(request.route().kind().isRepeatable(),
 				call.isStreaming());
-		return isAllowed && !this.poison.isQuarantined(call, now) && call.runs() < request.route().maxAttempts()
+		return isAllowed && !this.poison.isQuarantined(call, now) && call.possibleRuns() < request.route().maxAttempts()
 				&& call.attempts() < this.settings.maxAttempts()
 				&& call.dueAt() - now > request.route().goalMillis() / this.settings.timeShareToTryAgain()
 				&& this.sender.hasAlternative(call, attempt.target(), now)
@@ -176,7 +176,7 @@
 		this.sender.abandon(call, attempt);
 		call.tried().add(attempt.target().id());
 		this.sender.choose(call, this.engines.apply(call), now)
-			.ifPresentOrElse((t) -> call.use(startAttempt(call, t, Optional.empty(), now)),
+			.ifPresentOrElse((t) -> call.setAttempt(startAttempt(call, t, Optional.empty(), now)),
 					() -> this.completion.refuse(call, RefusalReason.TARGET_LOST, cause, now));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -65,13 +65,13 @@
 	Optional<ListedTarget> choose(DirectCall call, Optional<EngineSpec> engine, long now) {
 		Optional<GenerationSize> size = call.request().work();
 		if (engine.isPresent() && size.isPresent()) {
-			return this.chooser.chooseEngine(call.scope(), engine.get(), size.get(), now);
+			return this.chooser.chooseEngine(call.filter(), engine.get(), size.get(), now);
 		}
-		return this.chooser.choosePlain(call.scope(), now);
+		return this.chooser.choosePlain(call.filter(), now);
 	}
 
 	Optional<ListedTarget> chooseLeastUtilized(DirectCall call, EngineSpec engine, long now) {
-		return this.chooser.chooseLeastUtilized(call.scope(), engine, now);
+		return this.chooser.chooseLeastUtilized(call.filter(), engine, now);
 	}
 
 	/**
@@ -94,11 +94,11 @@
 	}
 
 	NoTargetReason findNoTargetReason(DirectCall call, long now) {
-		return this.eligibility.shortage(call.scope(), now);
+		return this.eligibility.shortage(call.filter(), now);
 	}
 
 	boolean hasAlternative(DirectCall call, ListedTarget current, long now) {
-		return this.eligibility.targets(call.scope(), now).stream().anyMatch((t) -> !t.id().equals(current.id()));
+		return this.eligibility.targets(call.filter(), now).stream().anyMatch((t) -> !t.id().equals(current.id()));
 	}
 
 	/**
@@ -124,7 +124,7 @@
 				+ engine.map((e) -> ", memory " + Math.round(PERCENT * this.chooser.utilization(target, e, now)) + "%")
 					.orElse("")
 				+ ", directory of " + this.directory.size() + ", left out "
-				+ this.eligibility.countExcluded(call.scope(), now)
+				+ this.eligibility.countExcluded(call.filter(), now)
 				+ backup.map((b) -> ", copy grows at " + b.id()).orElse("")));
 		this.estimates.update(target, TargetEstimate::requestStarted);
 		this.eligibility.sent(target, now);
@@ -233,7 +233,7 @@
 				|| this.chooser.fleetUtilization(target.service(), engine, now) > MAX_FLEET_UTILIZATION) {
 			return Optional.empty();
 		}
-		return this.chooser.chooseBackup(target, call.scopeWithout(Set.of()), engine, size.get().reservedTokens(0),
+		return this.chooser.chooseBackup(target, call.filterWithout(Set.of()), engine, size.get().reservedTokens(0),
 				MAX_BACKUP_UTILIZATION, now);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -181,7 +181,7 @@
 			this.completion.endAsLost(call, "the retry budget is exhausted", now);
 			return;
 		}
-		call.use(this.starter.startAttempt(call, destination, Optional.of(from), now));
+		call.setAttempt(this.starter.startAttempt(call, destination, Optional.of(from), now));
 	}
 
 	/**
@@ -215,7 +215,7 @@
 		}
 		this.audit.record(call.event(AuditKind.MOVED, source.get().id(), "resumes at its source after event "
 				+ call.lastEvent() + ": " + cause + " at " + refused.target().id()));
-		call.use(this.starter.startAttempt(call, source.get(), refused.resume(), now));
+		call.setAttempt(this.starter.startAttempt(call, source.get(), refused.resume(), now));
 		return true;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
@@ -34,15 +34,15 @@
 
 	private String lastTarget = "";
 
-	private int arrivals;
+	private int timesSent;
 
-	private int runs;
+	private int possibleRuns;
 
 	private Verdict verdict = Verdict.NOT_RUN;
 
 	private boolean streaming;
 
-	private boolean cleared;
+	private boolean harmless;
 
 	private long lastEvent = NO_EVENT;
 
@@ -54,7 +54,7 @@
 
 	private long eventAfterLongestPause = NO_EVENT;
 
-	private Optional<GenerationMove> copying = Optional.empty();
+	private Optional<GenerationMove> move = Optional.empty();
 
 	private Optional<StandbyCopy> standby = Optional.empty();
 
@@ -79,13 +79,13 @@
 	}
 
 	// The time at which the caller gives up.
-	long patienceEndsAt() {
+	long callerTimeoutAt() {
 		return this.openedAt + this.request.patienceMillis();
 	}
 
 	// The deadline of the final answer.
 	long dueAt() {
-		return Math.min(patienceEndsAt(), this.openedAt + this.request.route().timeoutMillis());
+		return Math.min(callerTimeoutAt(), this.openedAt + this.request.route().timeoutMillis());
 	}
 
 	Set<String> tried() {
@@ -93,11 +93,11 @@
 	}
 
 	// The candidate filter for the next attempt.
-	CandidateFilter scope() {
-		return scopeWithout(this.tried);
+	CandidateFilter filter() {
+		return filterWithout(this.tried);
 	}
 
-	CandidateFilter scopeWithout(Set<String> excluded) {
+	CandidateFilter filterWithout(Set<String> excluded) {
 		return new CandidateFilter(this.request.service(), this.request.regions(), excluded);
 	}
 
@@ -127,7 +127,7 @@
 		return new Attempt(this.attempts, target, resume, backup, now);
 	}
 
-	void use(Attempt current) {
+	void setAttempt(Attempt current) {
 		this.attempt = Optional.of(current);
 	}
 
@@ -159,26 +159,26 @@
 	}
 
 	// How many times the request was written to a target.
-	int arrivals() {
-		return this.arrivals;
+	int timesSent() {
+		return this.timesSent;
 	}
 
 	void recordArrival() {
-		this.arrivals++;
+		this.timesSent++;
 		this.verdict = Verdict.MAY_HAVE_RUN;
 	}
 
 	// How many targets may have executed the request.
-	int runs() {
-		return this.runs;
+	int possibleRuns() {
+		return this.possibleRuns;
 	}
 
 	void recordPossibleRun() {
-		this.runs++;
+		this.possibleRuns++;
 	}
 
 	void recordNotRun() {
-		if (this.runs == 0) {
+		if (this.possibleRuns == 0) {
 			this.verdict = Verdict.NOT_RUN;
 		}
 	}
@@ -189,12 +189,12 @@
 
 	// Whether its generation has executed for so long that it is not suspected to crash
 	// targets.
-	boolean isCleared() {
-		return this.cleared;
+	boolean isHarmless() {
+		return this.harmless;
 	}
 
-	void clear() {
-		this.cleared = true;
+	void markHarmless() {
+		this.harmless = true;
 	}
 
 	boolean isStreaming() {
@@ -263,16 +263,16 @@
 		this.stoppedAt = engine;
 	}
 
-	Optional<GenerationMove> copying() {
-		return this.copying;
+	Optional<GenerationMove> move() {
+		return this.move;
 	}
 
-	void copy(GenerationMove started) {
-		this.copying = Optional.of(started);
+	void startMove(GenerationMove started) {
+		this.move = Optional.of(started);
 	}
 
-	void endCopy() {
-		this.copying = Optional.empty();
+	void endMove() {
+		this.move = Optional.empty();
 	}
 
 	// Creates an audit event about this call; the target is empty text if there is none.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
@@ -82,7 +82,7 @@
 			return Optional.empty();
 		}
 		return this.waiting.stream()
-			.filter((c) -> c.copying().get().notBefore() <= now)
+			.filter((c) -> c.move().get().notBefore() <= now)
 			.min(Comparator.comparingLong(MoveQueue::tokensToCopy));
 	}
 
@@ -91,7 +91,7 @@
 		this.waiting.remove(call);
 		endActiveCopy();
 		this.active = Optional.of(call);
-		this.activeEngines = List.of(this.source, call.copying().get().destination());
+		this.activeEngines = List.of(this.source, call.move().get().destination());
 		this.activeEngines.forEach((e) -> this.estimates.update(e, (b) -> b.addCopies(1)));
 	}
 
@@ -134,7 +134,7 @@
 	}
 
 	private void countPending(DirectCall call, boolean isToMove) {
-		GenerationMove move = call.copying().get();
+		GenerationMove move = call.move().get();
 		if (move.isAnnounced() != isToMove) {
 			move.setAnnounced(isToMove);
 			this.estimates.update(this.source, (b) -> b.addPendingMoves(isToMove ? 1 : -1));
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonRequestGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonRequestGuard.java
@@ -135,7 +135,7 @@
 	void handleBrokenConnection(DirectCall call, Attempt attempt, long now) {
 		ListedTarget target = attempt.target();
 		boolean wasExpectedToStay = this.directory.isAvailable(target) || this.directory.isFormerIncarnation(target);
-		if (!this.enabled || call.isCleared() || !wasExpectedToStay || this.announcedShutdown.contains(target.incarnation())
+		if (!this.enabled || call.isHarmless() || !wasExpectedToStay || this.announcedShutdown.contains(target.incarnation())
 				|| this.announcedDraining.test(target)) {
 			return;
 		}
@@ -202,8 +202,8 @@
 
 	// Clears the request of a generation that has sent events for long enough.
 	void handleEvent(DirectCall call, Attempt attempt, long now) {
-		if (!call.isCleared() && now - attempt.answeringAt() >= this.suspects.settings().clearAfterMillis()) {
-			call.clear();
+		if (!call.isHarmless() && now - attempt.answeringAt() >= this.suspects.settings().clearAfterMillis()) {
+			call.markHarmless();
 			recordCompleted(call, now);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -196,7 +196,7 @@
 		}
 		releaseIfUnusable(call, engine, now);
 		dropIfFleetFull(call, attempt, engine, now);
-		if (this.activeCall.isPresent() || call.copying().isPresent()) {
+		if (this.activeCall.isPresent() || call.move().isPresent()) {
 			scheduleRefresh(call, attempt, engine, now + BUSY_DELAY_MILLIS);
 			return;
 		}
@@ -246,7 +246,7 @@
 		if (this.chooser.fleetUtilization(source.service(), engine, now) > MAX_FLEET_UTILIZATION_NEW) {
 			return Optional.empty();
 		}
-		return this.chooser.chooseBackup(source, call.scopeWithout(Set.of()), engine, attempt.heldTokens(),
+		return this.chooser.chooseBackup(source, call.filterWithout(Set.of()), engine, attempt.heldTokens(),
 				MAX_ENGINE_UTILIZATION, now);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -90,11 +90,11 @@
 	}
 
 	void start(DirectCall call, long now) {
-		if (call.copying().isPresent() || call.attempt().isEmpty() || endsSoon(call)) {
+		if (call.move().isPresent() || call.attempt().isEmpty() || endsSoon(call)) {
 			return;
 		}
 		ListedTarget source = call.attempt().get().target();
-		call.copy(new GenerationMove(source));
+		call.startMove(new GenerationMove(source));
 		long noticedAt = this.estimates.of(source).drainingSince().orElse(now);
 		MoveQueue queue = this.queues.computeIfAbsent(source.incarnation(),
 				(incarnation) -> new MoveQueue(source, noticedAt, this.estimates));
@@ -112,7 +112,7 @@
 	 * stop
 	 */
 	boolean handleSourceClosed(DirectCall call, long now) {
-		Optional<GenerationMove> move = call.copying();
+		Optional<GenerationMove> move = call.move();
 		if (move.isEmpty() || move.get().phase() == CopyPhase.WAITING
 				|| move.get().phase() == CopyPhase.AHEAD) {
 			return false;
@@ -131,14 +131,14 @@
 	 * @return {@code false} if an earlier move or a standby copy issued the order
 	 */
 	boolean issued(DirectCall call, CopyOrder order) {
-		return call.copying()
+		return call.move()
 			.filter((c) -> c.phase() != CopyPhase.WAITING && c.source().isSameIncarnation(order.source())
 					&& c.destination().isSameIncarnation(order.destination()))
 			.isPresent();
 	}
 
 	void handleCopyResult(DirectCall call, CopyOrder order, CopyResult result, long now) {
-		GenerationMove move = call.copying().get();
+		GenerationMove move = call.move().get();
 		record(call, move, (order.stop() ? "final copy" : "copy while running") + " to " + order.destination().id()
 				+ ": " + result.outcome() + " in " + (now - move.orderedAt()) + " ms");
 		if (!result.handle().isEmpty()) {
@@ -158,7 +158,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void release(DirectCall call, long now) {
-		call.copying().ifPresent((c) -> {
+		call.move().ifPresent((c) -> {
 			if (!c.handle().isEmpty() && c.phase() != CopyPhase.STOPPED) {
 				this.outputs.releaseCopy(c.source(), c.handle());
 			}
@@ -172,7 +172,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void endMove(DirectCall call, long now) {
-		call.copying().ifPresent((c) -> removeFromQueue(call, c, now));
+		call.move().ifPresent((c) -> removeFromQueue(call, c, now));
 	}
 
 	// Starts the next copy if none is in progress and this entry has the turn.
@@ -206,7 +206,7 @@
 	 * @return the move whose destination holds a partial copy and accepts work, or empty
 	 */
 	Optional<GenerationMove> partialCopy(DirectCall call, long now) {
-		return call.copying()
+		return call.move()
 			.filter((c) -> c.findPartialCopyHolder().filter((d) -> this.resumption.acceptsWork(d, now)).isPresent());
 	}
 
@@ -220,7 +220,7 @@
 	}
 
 	private void copyWhileRunning(MoveQueue queue, DirectCall call, long now) {
-		GenerationMove move = call.copying().get();
+		GenerationMove move = call.move().get();
 		Optional<EngineSpec> engine = this.resumption.engine(call);
 		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
 		Optional<StandbyCopy> standby = this.standbys.detach(call);
@@ -232,7 +232,7 @@
 			releasePartialCopy(move);
 		}
 		Optional<ListedTarget> destination = partialCopy.or(() -> engine.flatMap((e) -> this.chooser
-			.chooseDestination(queue.source(), call.scopeWithout(move.triedIds()), e, tokens, now)));
+			.chooseDestination(queue.source(), call.filterWithout(move.triedIds()), e, tokens, now)));
 		if (destination.isEmpty()) {
 			move.triedIds().clear();
 			requeue(queue, call, now);
@@ -300,7 +300,7 @@
 	}
 
 	private void requeue(MoveQueue queue, DirectCall call, long now) {
-		GenerationMove move = call.copying().get();
+		GenerationMove move = call.move().get();
 		if (queue.millisSinceNotice(now) > GIVE_UP_MILLIS) {
 			removeFromQueue(call, move, now);
 			return;
@@ -359,7 +359,7 @@
 	}
 
 	private void resumeAtDestination(DirectCall call, GenerationMove move, long now) {
-		if (call.copying().orElse(null) != move) {
+		if (call.move().orElse(null) != move) {
 			return;
 		}
 		if (this.resumption.isReplaced(move.destination())) {
@@ -383,7 +383,7 @@
 		releaseReservation(move);
 		MoveQueue queue = this.queues.get(move.source().incarnation());
 		queue.remove(call);
-		call.endCopy();
+		call.endMove();
 		if (queue.isEmpty()) {
 			this.queues.remove(move.source().incarnation());
 			return;
