--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CopyPhase.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CopyPhase.java
@@ -9,7 +9,7 @@
 	WAITING,
 
 	/** The KV cache is copied while the execution continues. */
-	AHEAD,
+	PRECOPY,
 
 	/** The execution has been ordered to stop, and the rest is copied. */
 	STOPPING,
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -114,7 +114,7 @@
 	boolean handleSourceClosed(DirectCall call, long now) {
 		Optional<GenerationMove> move = call.move();
 		if (move.isEmpty() || move.get().phase() == CopyPhase.WAITING
-				|| move.get().phase() == CopyPhase.AHEAD) {
+				|| move.get().phase() == CopyPhase.PRECOPY) {
 			return false;
 		}
 		move.get().sourceClosed();
@@ -144,7 +144,7 @@
 		if (!result.handle().isEmpty()) {
 			move.handle(result.handle());
 		}
-		if (move.phase() == CopyPhase.AHEAD) {
+		if (move.phase() == CopyPhase.PRECOPY) {
 			handleRunningCopy(call, move, result, now);
 		}
 		else if (move.phase() == CopyPhase.STOPPING) {
@@ -241,7 +241,7 @@
 		move.setDestination(destination.get(), tokens);
 		queue.startCopy(call);
 		this.estimates.update(destination.get(), (b) -> b.addReservedTokens(tokens));
-		move.setPhase(CopyPhase.AHEAD);
+		move.setPhase(CopyPhase.PRECOPY);
 		sendCopyOrder(call, move, now);
 	}
 
