--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CopyOrder.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CopyOrder.java
@@ -10,11 +10,11 @@
  * @param requestId the id of the request that is executed
  * @param source the engine that executes it
  * @param destination the engine that receives the copy
- * @param stop whether the execution stops before the copy, so that it can resume at the
+ * @param stopFirst whether the execution stops before the copy, so that it can resume at the
  * destination
  * @since 0.2
  */
-public record CopyOrder(String requestId, ListedTarget source, ListedTarget destination, boolean stop) {
+public record CopyOrder(String requestId, ListedTarget source, ListedTarget destination, boolean stopFirst) {
 
 	public CopyOrder {
 		Objects.requireNonNull(requestId, "requestId must not be null");
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -139,7 +139,7 @@
 
 	void handleCopyResult(DirectCall call, CopyOrder order, CopyResult result, long now) {
 		GenerationMove move = call.move().get();
-		record(call, move, (order.stop() ? "final copy" : "copy while running") + " to " + order.destination().id()
+		record(call, move, (order.stopFirst() ? "final copy" : "copy while running") + " to " + order.destination().id()
 				+ ": " + result.outcome() + " in " + (now - move.orderedAt()) + " ms");
 		if (!result.handle().isEmpty()) {
 			move.handle(result.handle());
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
@@ -159,7 +159,7 @@
 		this.harness.copied(Outcome.COPIED, "h1");
 		CopyOrder next = this.harness.copies.get(this.harness.copies.size() - 1);
 		assertThat(next.destination().isSameIncarnation(order.destination())).isFalse();
-		assertThat(next.stop()).isFalse();
+		assertThat(next.stopFirst()).isFalse();
 	}
 
 	@Test
@@ -177,7 +177,7 @@
 		this.harness.leave(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.COPIED, "h1");
-		assertThat(this.harness.copies.get(1).stop()).isTrue();
+		assertThat(this.harness.copies.get(1).stopFirst()).isTrue();
 		this.harness.startAgain(first.target());
 		this.harness.copied(Outcome.NO_SUCH_RUN, "");
 		Sent second = this.harness.arrive();
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
@@ -187,7 +187,7 @@
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.now += 300;
 		this.harness.copied(Outcome.COPIED, "h1");
-		assertThat(this.harness.copies.get(1).stop()).isTrue();
+		assertThat(this.harness.copies.get(1).stopFirst()).isTrue();
 	}
 
 	@Test
@@ -212,7 +212,7 @@
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		ListedTarget destination = this.harness.copies.get(0).destination();
 		this.harness.copied(Outcome.COPIED, "h1");
-		assertThat(this.harness.copies.get(1).stop()).isTrue();
+		assertThat(this.harness.copies.get(1).stopFirst()).isTrue();
 		this.harness.breakOff(first);
 		this.harness.copied(Outcome.NO_ANSWER, "");
 		Sent second = this.harness.arrive();
@@ -300,7 +300,7 @@
 		this.harness.answer(this.harness.arrive(), 503, true);
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies).hasSize(1);
-		assertThat(this.harness.copies.get(0).stop()).isFalse();
+		assertThat(this.harness.copies.get(0).stopFirst()).isFalse();
 		assertThat(this.harness.event(first, 1)).isTrue();
 	}
 
@@ -312,10 +312,10 @@
 		assertThat(this.harness.copies).hasSize(1);
 		this.harness.now += 400;
 		this.harness.copied(Outcome.COPIED, "h1");
-		assertThat(this.harness.copies.get(1).stop()).isFalse();
+		assertThat(this.harness.copies.get(1).stopFirst()).isFalse();
 		this.harness.now += 20;
 		this.harness.copied(Outcome.COPIED, "h1");
-		assertThat(this.harness.copies.get(2).stop()).isTrue();
+		assertThat(this.harness.copies.get(2).stopFirst()).isTrue();
 		assertThat(this.harness.event(first, 1)).isTrue();
 		this.harness.breakOff(first);
 		assertThat(this.harness.answers(1)).containsExactly("started");
@@ -446,7 +446,7 @@
 	void keepsAndRefreshesStandbyCopyWithoutLiveCopy() {
 		Sent first = streamWithStandbyCopy();
 		CopyOrder order = this.harness.copies.get(0);
-		assertThat(order.stop()).isFalse();
+		assertThat(order.stopFirst()).isFalse();
 		this.harness.event(first, 1);
 		this.harness.passTime(3_000);
 		assertThat(this.harness.copies).hasSize(2);
