--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Attempt.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Attempt.java
@@ -17,23 +17,23 @@
 
 	private Optional<ListedTarget> backup;
 
-	private long heldTokens;
+	private long reservedTokens;
 
-	private long unreadTokens;
+	private long pendingPromptTokens;
 
-	private final long begunAt;
+	private final long startedAt;
 
 	private long sentAt = -1;
 
-	private long answeringAt = -1;
+	private long firstEventAt = -1;
 
 	Attempt(int number, ListedTarget target, Optional<ResumePoint> resume, Optional<ListedTarget> backup,
-			long begunAt) {
+			long startedAt) {
 		this.number = number;
 		this.target = target;
 		this.resume = resume;
 		this.backup = backup;
-		this.begunAt = begunAt;
+		this.startedAt = startedAt;
 	}
 
 	int number() {
@@ -49,26 +49,26 @@
 	}
 
 	// The time at which its connection was ordered.
-	long begunAt() {
-		return this.begunAt;
+	long startedAt() {
+		return this.startedAt;
 	}
 
 	// The engine memory that is reserved for this attempt.
-	long heldTokens() {
-		return this.heldTokens;
+	long reservedTokens() {
+		return this.reservedTokens;
 	}
 
-	void setHeldTokens(long tokens) {
-		this.heldTokens = tokens;
+	void setReservedTokens(long tokens) {
+		this.reservedTokens = tokens;
 	}
 
 	// The prompt tokens that the engine has not read yet.
-	long unreadTokens() {
-		return this.unreadTokens;
+	long pendingPromptTokens() {
+		return this.pendingPromptTokens;
 	}
 
-	void setUnreadTokens(long tokens) {
-		this.unreadTokens = tokens;
+	void setPendingPromptTokens(long tokens) {
+		this.pendingPromptTokens = tokens;
 	}
 
 	// The target of the live copy, if there is one.
@@ -93,16 +93,16 @@
 	}
 
 	boolean isAnswering() {
-		return this.answeringAt >= 0;
+		return this.firstEventAt >= 0;
 	}
 
 	// The time of its first event.
-	long answeringAt() {
-		return this.answeringAt;
+	long firstEventAt() {
+		return this.firstEventAt;
 	}
 
 	void markAnswering(long now) {
-		this.answeringAt = now;
+		this.firstEventAt = now;
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -148,7 +148,7 @@
 	}
 
 	void recordConnected(Attempt attempt, long now) {
-		this.connectTimeout.recordDuration(now - attempt.begunAt());
+		this.connectTimeout.recordDuration(now - attempt.startedAt());
 	}
 
 	private void handleConnectTimeout(DirectCall call, Attempt attempt, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -183,7 +183,7 @@
 		}
 		ListedTarget backup = attempt.backup().get();
 		this.audit.record(call.event(AuditKind.MOVED, backup.id(), "its live copy is dropped: " + cause));
-		this.estimates.update(backup, (b) -> b.addReservedTokens(-attempt.heldTokens()));
+		this.estimates.update(backup, (b) -> b.addReservedTokens(-attempt.reservedTokens()));
 		attempt.dropBackup();
 		this.outputs.releaseCopy(attempt.target(), call.request().id());
 	}
@@ -209,19 +209,19 @@
 	}
 
 	private void reserve(Attempt attempt, long tokens) {
-		long change = tokens - attempt.heldTokens();
+		long change = tokens - attempt.reservedTokens();
 		if (change == 0) {
 			return;
 		}
-		attempt.setHeldTokens(tokens);
+		attempt.setReservedTokens(tokens);
 		this.estimates.update(attempt.target(), (b) -> b.addReservedTokens(change));
 		attempt.backup().ifPresent((t) -> this.estimates.update(t, (b) -> b.addReservedTokens(change)));
 	}
 
 	private void updatePendingPromptTokens(Attempt attempt, long tokens) {
-		long change = tokens - attempt.unreadTokens();
+		long change = tokens - attempt.pendingPromptTokens();
 		if (change != 0) {
-			attempt.setUnreadTokens(tokens);
+			attempt.setPendingPromptTokens(tokens);
 			this.estimates.update(attempt.target(), (b) -> b.addPendingPromptTokens(change));
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/MoveQueue.java
@@ -129,7 +129,7 @@
 
 	// The tokens of a call's generation that no standby copy holds yet.
 	static long tokensToCopy(DirectCall call) {
-		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
+		long tokens = call.attempt().map(Attempt::reservedTokens).orElse(0L);
 		return tokens - call.standby().map(StandbyCopy::copiedTokens).orElse(0L);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonRequestGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonRequestGuard.java
@@ -202,7 +202,7 @@
 
 	// Clears the request of a generation that has sent events for long enough.
 	void handleEvent(DirectCall call, Attempt attempt, long now) {
-		if (!call.isHarmless() && now - attempt.answeringAt() >= this.suspects.settings().clearAfterMillis()) {
+		if (!call.isHarmless() && now - attempt.firstEventAt() >= this.suspects.settings().clearAfterMillis()) {
 			call.markHarmless();
 			recordCompleted(call, now);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -134,7 +134,7 @@
 			return;
 		}
 		if (result.outcome() == CopyResult.Outcome.COPIED) {
-			standby.copied(result.handle(), call.attempt().map(Attempt::heldTokens).orElse(0L));
+			standby.copied(result.handle(), call.attempt().map(Attempt::reservedTokens).orElse(0L));
 			return;
 		}
 		record(call, order.destination(), "standby copy failed: " + result.outcome());
@@ -246,12 +246,12 @@
 		if (this.chooser.fleetUtilization(source.service(), engine, now) > MAX_FLEET_UTILIZATION_NEW) {
 			return Optional.empty();
 		}
-		return this.chooser.chooseBackup(source, call.filterWithout(Set.of()), engine, attempt.heldTokens(),
+		return this.chooser.chooseBackup(source, call.filterWithout(Set.of()), engine, attempt.reservedTokens(),
 				MAX_ENGINE_UTILIZATION, now);
 	}
 
 	private void startCopy(DirectCall call, Attempt attempt, ListedTarget destination) {
-		long tokens = attempt.heldTokens();
+		long tokens = attempt.reservedTokens();
 		this.estimates.update(destination, (b) -> b.addReservedTokens(tokens));
 		call.standby(Optional.of(new StandbyCopy(attempt.target(), destination, tokens)));
 		record(call, destination, "standby copy started");
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -222,7 +222,7 @@
 	private void copyWhileRunning(MoveQueue queue, DirectCall call, long now) {
 		GenerationMove move = call.move().get();
 		Optional<EngineSpec> engine = this.resumption.engine(call);
-		long tokens = call.attempt().map(Attempt::heldTokens).orElse(0L);
+		long tokens = call.attempt().map(Attempt::reservedTokens).orElse(0L);
 		Optional<StandbyCopy> standby = this.standbys.detach(call);
 		standby.ifPresent((s) -> move.handle(s.handle()));
 		Optional<ListedTarget> partialCopy = standby.map(StandbyCopy::destination)
