--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DispatchOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DispatchOutputs.java
@@ -75,7 +75,7 @@
 	 * {@link Dispatcher#probed}.
 	 * @param target the target to probe
 	 */
-	void check(ListedTarget target);
+	void probe(ListedTarget target);
 
 	/**
 	 * Notify engines that a copy is no longer needed.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -369,7 +369,7 @@
 	}
 
 	/**
-	 * Handle the result of a probe that was ordered by {@link DispatchOutputs#check}.
+	 * Handle the result of a probe that was ordered by {@link DispatchOutputs#probe}.
 	 * @param target the probed target
 	 * @param refused {@code true} if the connection was refused, {@code false} if it was
 	 * established
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonRequestGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/PoisonRequestGuard.java
@@ -140,7 +140,7 @@
 			return;
 		}
 		if (this.brokenConnections.add(call.request().digest(), call.request().id(), target.incarnation(), now)) {
-			CHECK_DELAYS_MILLIS.forEach((m) -> this.timers.schedule(now + m, (t) -> this.outputs.check(target)));
+			CHECK_DELAYS_MILLIS.forEach((m) -> this.timers.schedule(now + m, (t) -> this.outputs.probe(target)));
 		}
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -343,7 +343,7 @@
 	}
 
 	@Override
-	public void check(ListedTarget target) {
+	public void probe(ListedTarget target) {
 		this.checked.add(target);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
@@ -121,7 +121,7 @@
 	}
 
 	@Override
-	public void check(ListedTarget target) {
+	public void probe(ListedTarget target) {
 		this.loop.run(() -> {
 			TargetCheck check = new TargetCheck((refused) -> {
 				this.dispatcher.probed(target, refused, this.loop.now());
