--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ColdTargets.java
@@ -58,7 +58,7 @@
 
 	private final AuditSink audit;
 
-	private final Map<TargetIncarnation, ColdTarget> byRun = new HashMap<>();
+	private final Map<TargetIncarnation, ColdTarget> byIncarnation = new HashMap<>();
 
 	/**
 	 * Create the limits, with no target cold.
@@ -82,16 +82,16 @@
 	 * @param millis the remaining time in milliseconds; 0 if the target is warm
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	public void told(ListedTarget target, long millis, long now) {
+	public void recordCold(ListedTarget target, long millis, long now) {
 		if (millis < 0 || millis > MAX_COLD_MILLIS) {
 			record(target, "reported an invalid cold time of " + millis + " ms; ignored");
 			return;
 		}
 		if (millis == 0) {
-			this.byRun.remove(target.incarnation());
+			this.byIncarnation.remove(target.incarnation());
 			return;
 		}
-		ColdTarget state = this.byRun.computeIfAbsent(target.incarnation(), (incarnation) -> new ColdTarget());
+		ColdTarget state = this.byIncarnation.computeIfAbsent(target.incarnation(), (incarnation) -> new ColdTarget());
 		if (now >= state.until) {
 			record(target, "cold for " + millis + " ms, limited to "
 					+ this.limit.requests(this.coldPerSecond.applyAsDouble(target.service())) + " requests a second");
@@ -106,8 +106,8 @@
 	 * @return {@code true} unless the target is cold and the share of this entry is used
 	 * up
 	 */
-	public boolean takes(ListedTarget target, long now) {
-		return freeInMillis(target, now) <= 0;
+	public boolean accepts(ListedTarget target, long now) {
+		return waitMillis(target, now) <= 0;
 	}
 
 	/**
@@ -116,8 +116,8 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the delay in milliseconds; 0 if it accepts one now
 	 */
-	public long freeInMillis(ListedTarget target, long now) {
-		ColdTarget cold = this.byRun.get(target.incarnation());
+	public long waitMillis(ListedTarget target, long now) {
+		ColdTarget cold = this.byIncarnation.get(target.incarnation());
 		double perSecond = this.coldPerSecond.applyAsDouble(target.service());
 		if (cold == null || now >= cold.until || perSecond <= 0) {
 			return 0;
@@ -136,8 +136,8 @@
 	 * @param target the receiving target
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	public void sent(ListedTarget target, long now) {
-		ColdTarget cold = this.byRun.get(target.incarnation());
+	public void recordSent(ListedTarget target, long now) {
+		ColdTarget cold = this.byIncarnation.get(target.incarnation());
 		if (cold != null && now < cold.until) {
 			cold.sent.add(now);
 		}
@@ -148,7 +148,7 @@
 	 * @param target the removed target
 	 */
 	public void forget(ListedTarget target) {
-		this.byRun.remove(target.incarnation());
+		this.byIncarnation.remove(target.incarnation());
 	}
 
 	/**
@@ -156,8 +156,8 @@
 	 * @return {@code true} if no target is limited; {@code false} may include expired
 	 * times
 	 */
-	public boolean isQuiet() {
-		return this.byRun.isEmpty();
+	public boolean isEmpty() {
+		return this.byIncarnation.isEmpty();
 	}
 
 	/**
@@ -166,7 +166,7 @@
 	 * @return the number of targets whose cold time has not expired
 	 */
 	public long count(long now) {
-		return this.byRun.values().stream().filter((c) -> now < c.until).count();
+		return this.byIncarnation.values().stream().filter((c) -> now < c.until).count();
 	}
 
 	private int share(ListedTarget target, double perSecond) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -163,7 +163,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void recordCold(ListedTarget target, long millis, long now) {
-		this.cold.told(target, millis, now);
+		this.cold.recordCold(target, millis, now);
 	}
 
 	/**
@@ -183,7 +183,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void recordSent(ListedTarget target, long now) {
-		this.cold.sent(target, now);
+		this.cold.recordSent(target, now);
 		this.backpressure.recordSent(target, now);
 	}
 
@@ -195,7 +195,7 @@
 	 * @return the number of excluded targets
 	 */
 	long countExcluded(CandidateFilter filter, long now) {
-		if (this.backpressure.isUnrestricted() && this.cold.isQuiet()) {
+		if (this.backpressure.isUnrestricted() && this.cold.isEmpty()) {
 			return 0;
 		}
 		return acceptingTargets(filter.service()).stream().filter((t) -> isAllowed(filter, t) && waitMillis(t, now) > 0).count();
@@ -240,7 +240,7 @@
 	}
 
 	private long waitMillis(ListedTarget target, long now) {
-		return Math.max(this.cold.freeInMillis(target, now), this.backpressure.waitMillis(target, now));
+		return Math.max(this.cold.waitMillis(target, now), this.backpressure.waitMillis(target, now));
 	}
 
 	private boolean isAllowed(CandidateFilter filter, ListedTarget target) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
@@ -31,53 +31,53 @@
 
 	@Test
 	void limitsOnlyColdTargets() {
-		this.singleEntry.sent(this.target, 0);
-		assertThat(this.singleEntry.takes(this.target, 0)).isTrue();
-		this.singleEntry.told(this.target, 3_000, 0);
+		this.singleEntry.recordSent(this.target, 0);
+		assertThat(this.singleEntry.accepts(this.target, 0)).isTrue();
+		this.singleEntry.recordCold(this.target, 3_000, 0);
 		// The share of one entry among at least five: 0.7 * (4 * 1.5 + 5) / 5.
-		assertThat(this.singleEntry.takes(this.target, 1)).isTrue();
-		this.singleEntry.sent(this.target, 1);
-		assertThat(this.singleEntry.takes(this.target, 2)).isFalse();
-		assertThat(this.singleEntry.freeInMillis(this.target, 2)).isEqualTo(1_199);
-		assertThat(this.singleEntry.takes(this.target, 1_201)).isTrue();
+		assertThat(this.singleEntry.accepts(this.target, 1)).isTrue();
+		this.singleEntry.recordSent(this.target, 1);
+		assertThat(this.singleEntry.accepts(this.target, 2)).isFalse();
+		assertThat(this.singleEntry.waitMillis(this.target, 2)).isEqualTo(1_199);
+		assertThat(this.singleEntry.accepts(this.target, 1_201)).isTrue();
 		assertThat(this.singleEntry.count(2)).isEqualTo(1);
 		assertThat(this.singleEntry.count(3_000)).isEqualTo(0);
 	}
 
 	@Test
 	void removesLimitWhenTargetIsWarmOrColdTimeExpires() {
-		this.singleEntry.told(this.target, 800, 0);
-		this.singleEntry.sent(this.target, 0);
-		assertThat(this.singleEntry.freeInMillis(this.target, 100)).isEqualTo(700);
-		assertThat(this.singleEntry.takes(this.target, 800)).isTrue();
-		this.singleEntry.told(this.target, 5_000, 900);
-		this.singleEntry.sent(this.target, 900);
-		assertThat(this.singleEntry.takes(this.target, 901)).isFalse();
-		this.singleEntry.told(this.target, 0, 902);
-		assertThat(this.singleEntry.takes(this.target, 902)).isTrue();
+		this.singleEntry.recordCold(this.target, 800, 0);
+		this.singleEntry.recordSent(this.target, 0);
+		assertThat(this.singleEntry.waitMillis(this.target, 100)).isEqualTo(700);
+		assertThat(this.singleEntry.accepts(this.target, 800)).isTrue();
+		this.singleEntry.recordCold(this.target, 5_000, 900);
+		this.singleEntry.recordSent(this.target, 900);
+		assertThat(this.singleEntry.accepts(this.target, 901)).isFalse();
+		this.singleEntry.recordCold(this.target, 0, 902);
+		assertThat(this.singleEntry.accepts(this.target, 902)).isTrue();
 	}
 
 	@Test
 	void recordsAndIgnoresInvalidColdTimes() {
-		this.singleEntry.told(this.target, -1, 0);
-		this.singleEntry.told(this.target, Long.MAX_VALUE, 0);
+		this.singleEntry.recordCold(this.target, -1, 0);
+		this.singleEntry.recordCold(this.target, Long.MAX_VALUE, 0);
 		assertThat(this.causes).hasSize(2);
-		this.singleEntry.sent(this.target, 0);
-		assertThat(this.singleEntry.takes(this.target, 0)).isTrue();
-		this.singleEntry.told(this.target, 5_000, 0);
-		this.singleEntry.told(this.target, -1, 1);
-		this.singleEntry.sent(this.target, 1);
-		assertThat(this.singleEntry.takes(this.target, 2)).isFalse();
+		this.singleEntry.recordSent(this.target, 0);
+		assertThat(this.singleEntry.accepts(this.target, 0)).isTrue();
+		this.singleEntry.recordCold(this.target, 5_000, 0);
+		this.singleEntry.recordCold(this.target, -1, 1);
+		this.singleEntry.recordSent(this.target, 1);
+		assertThat(this.singleEntry.accepts(this.target, 2)).isFalse();
 	}
 
 	@Test
 	void doesNotLimitServiceWithUnknownColdRate() {
 		ColdTargets unknown = of(1, 0, 0);
-		unknown.told(this.target, 5_000, 0);
+		unknown.recordCold(this.target, 5_000, 0);
 		for (int i = 0; i < 100; i++) {
-			unknown.sent(this.target, 0);
+			unknown.recordSent(this.target, 0);
 		}
-		assertThat(unknown.takes(this.target, 0)).isTrue();
+		assertThat(unknown.accepts(this.target, 0)).isTrue();
 	}
 
 	@Test
@@ -102,15 +102,15 @@
 				.count();
 			int visible = Math.max(1, entries + ((random.nextInt(10) == 0) ? random.nextInt(3) - 1 : 0));
 			ColdTargets cold = of(visible, before, perSecond);
-			cold.told(this.target, 60_000, 0);
+			cold.recordCold(this.target, 60_000, 0);
 			all.add(cold);
 		}
 		Deque<Long> arrived = new ArrayDeque<>();
 		int maxArrivals = 0;
 		for (long now = 0; now < 5_000; now += 20) {
 			for (ColdTargets cold : all) {
-				while (cold.takes(this.target, now)) {
-					cold.sent(this.target, now);
+				while (cold.accepts(this.target, now)) {
+					cold.recordSent(this.target, now);
 					arrived.add(now + random.nextInt(150));
 				}
 			}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -443,7 +443,7 @@
 
 		@Override
 		public void listed(ListedTarget target) {
-			target.coldMillis().ifPresent((c) -> DispatchHarness.this.cold.told(target, c, DispatchHarness.this.now));
+			target.coldMillis().ifPresent((c) -> DispatchHarness.this.cold.recordCold(target, c, DispatchHarness.this.now));
 		}
 
 		@Override
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
@@ -50,10 +50,10 @@
 	void newIncarnationIsNotColdBecauseTheFormerOneWas() {
 		this.harness.coldPerSecond = 1;
 		ListedTarget former = this.harness.join(DispatchHarness.PLAIN, "a");
-		this.harness.cold.told(former, 60_000, this.harness.now);
+		this.harness.cold.recordCold(former, 60_000, this.harness.now);
 		this.harness.before = 5;
 		ListedTarget started = this.harness.startAgain(former);
-		assertThat(this.harness.cold.takes(started, this.harness.now)).isTrue();
+		assertThat(this.harness.cold.accepts(started, this.harness.now)).isTrue();
 	}
 
 	@Test
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/MembershipEvents.java
@@ -62,7 +62,7 @@
 
 	@Override
 	public void listed(ListedTarget target) {
-		target.coldMillis().ifPresent((c) -> this.cold.told(target, c, this.loop.now()));
+		target.coldMillis().ifPresent((c) -> this.cold.recordCold(target, c, this.loop.now()));
 	}
 
 	@Override
