--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AnswerHead.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AnswerHead.java
@@ -11,18 +11,18 @@
  *
  * @param status the HTTP status code
  * @param requestId the id of the request that the target answers, or empty text
- * @param sealed whether the answer carries a digest of its body
+ * @param digested whether the answer carries a digest of its body
  * @param encoded whether the body has a content encoding, which is never requested
  * @param notRun whether the target states that it did not execute the request
  * @param events whether the body is a stream of events
  * @param load the load that the target reports, if any
  * @param coldMillis the remaining time in milliseconds for which the target is cold, if
  * it reports one
- * @param needs the back-pressure signals of the target
+ * @param signals the back-pressure signals of the target
  * @since 0.2
  */
-public record AnswerHead(int status, String requestId, boolean sealed, boolean encoded, boolean notRun, boolean events,
-		Optional<TargetLoad> load, OptionalLong coldMillis, BackpressureSignals needs) {
+public record AnswerHead(int status, String requestId, boolean digested, boolean encoded, boolean notRun, boolean events,
+		Optional<TargetLoad> load, OptionalLong coldMillis, BackpressureSignals signals) {
 
 	private static final int FIRST_SUCCESS = 200;
 
@@ -37,7 +37,7 @@
 		Objects.requireNonNull(requestId, "requestId must not be null");
 		Objects.requireNonNull(load, "load must not be null");
 		Objects.requireNonNull(coldMillis, "coldMillis must not be null");
-		Objects.requireNonNull(needs, "needs must not be null");
+		Objects.requireNonNull(signals, "signals must not be null");
 	}
 
 	/**
@@ -80,7 +80,7 @@
 	 * @param id the id of the request
 	 * @return {@code true} if the load and back-pressure signals may be recorded
 	 */
-	public boolean speaksForTarget(String id) {
+	public boolean appliesToTarget(String id) {
 		return !isMisdirected() && (this.requestId.isEmpty() || this.requestId.equals(id));
 	}
 
@@ -90,11 +90,11 @@
 	 * @return {@code false} if the answer belongs to another request, is encoded, or is a
 	 * success without a digest
 	 */
-	public boolean answers(String id) {
+	public boolean isValidAnswerTo(String id) {
 		if (this.encoded || (!this.requestId.isEmpty() && !this.requestId.equals(id))) {
 			return false;
 		}
-		return !isSuccess() || (this.sealed && this.requestId.equals(id));
+		return !isSuccess() || (this.digested && this.requestId.equals(id));
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -246,10 +246,10 @@
 		ListedTarget target = found.get().target();
 		head.load().ifPresent((l) -> this.estimates.of(target).recordLoad(l, now));
 		head.coldMillis().ifPresent((c) -> this.eligibility.recordCold(target, c, now));
-		if (head.speaksForTarget(this.calls.get(number).request().id()) && this.directory.isCurrentIncarnation(target)) {
-			this.eligibility.recordSignals(target, head.needs(), found.get().sentAt(), now);
+		if (head.appliesToTarget(this.calls.get(number).request().id()) && this.directory.isCurrentIncarnation(target)) {
+			this.eligibility.recordSignals(target, head.signals(), found.get().sentAt(), now);
 		}
-		return head.isSuccess() && head.events() && head.answers(this.calls.get(number).request().id());
+		return head.isSuccess() && head.events() && head.isValidAnswerTo(this.calls.get(number).request().id());
 	}
 
 	/**
@@ -265,7 +265,7 @@
 			return;
 		}
 		DirectCall call = this.calls.get(number);
-		if (!head.answers(call.request().id())) {
+		if (!head.isValidAnswerTo(call.request().id())) {
 			this.outcomes.handleFailure(call, found.get(),
 					"the answer does not belong to this request or is damaged: status " + head.status(), now);
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherTests.java
@@ -179,9 +179,9 @@
 				BackpressureSignals.NONE);
 		AnswerHead valid = new AnswerHead(200, "r", true, false, false, false, Optional.empty(), OptionalLong.empty(),
 				BackpressureSignals.NONE);
-		assertThat(unsealed.answers("r")).isFalse();
-		assertThat(encoded.answers("r")).isFalse();
-		assertThat(valid.answers("r")).isTrue();
+		assertThat(unsealed.isValidAnswerTo("r")).isFalse();
+		assertThat(encoded.isValidAnswerTo("r")).isFalse();
+		assertThat(valid.isValidAnswerTo("r")).isTrue();
 	}
 
 	@Test
