--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ConnectFault.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/ConnectFault.java
@@ -11,6 +11,6 @@
 	REFUSED,
 
 	/** The connection timed out or was closed immediately. */
-	SILENT
+	TIMED_OUT
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -110,7 +110,7 @@
 				settings.mechanisms().use(Mechanism.REQUEST_QUARANTINE));
 		this.scheduler = new AttemptScheduler(settings, retries, this.sender, this.completion, this.poison, timers, outputs, audit,
 				this::engine, entries,
-				(c, a, t) -> connectFailed(c.number(), a.number(), ConnectFault.SILENT, "connect timeout expired", t));
+				(c, a, t) -> connectFailed(c.number(), a.number(), ConnectFault.TIMED_OUT, "connect timeout expired", t));
 		this.continuation = new Continuation(eligibility, retries, this.sender, this.standbys, this.mover, this.completion,
 				this.poison, audit, this.scheduler::startAttempt, this::engine,
 				settings.mechanisms().use(Mechanism.COPIES_AT_NOTICE));
@@ -175,13 +175,13 @@
 		ListedTarget target = found.get().target();
 		if (this.poison.isQuarantined(call, now)) {
 			this.timers.schedule(now,
-					(t) -> connectFailed(number, attempt, ConnectFault.SILENT, "the request is quarantined", t));
+					(t) -> connectFailed(number, attempt, ConnectFault.TIMED_OUT, "the request is quarantined", t));
 			return OptionalLong.empty();
 		}
 		Optional<String> rejection = this.eligibility.findRejection(target, now)
 			.filter((c) -> found.get().resume().isEmpty());
 		if (rejection.isPresent()) {
-			this.timers.schedule(now, (t) -> connectFailed(number, attempt, ConnectFault.SILENT, rejection.get(), t));
+			this.timers.schedule(now, (t) -> connectFailed(number, attempt, ConnectFault.TIMED_OUT, rejection.get(), t));
 			return OptionalLong.empty();
 		}
 		found.get().markSent(now);
@@ -484,7 +484,7 @@
 		}
 		else {
 			this.outputs.abandon(call.number(), attempt.number());
-			connectFailed(call.number(), attempt.number(), ConnectFault.SILENT, RESTARTED, now);
+			connectFailed(call.number(), attempt.number(), ConnectFault.TIMED_OUT, RESTARTED, now);
 		}
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
@@ -115,7 +115,7 @@
 	@Override
 	public void onNotSent(IOException cause) {
 		this.loop.begin();
-		ConnectFault fault = (cause instanceof ConnectException) ? ConnectFault.REFUSED : ConnectFault.SILENT;
+		ConnectFault fault = (cause instanceof ConnectException) ? ConnectFault.REFUSED : ConnectFault.TIMED_OUT;
 		this.dispatcher.connectFailed(this.call, this.number, fault, String.valueOf(cause.getMessage()),
 				this.loop.now());
 		this.loop.runTimers();
