--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -101,7 +101,7 @@
 			this.directory.requestRejected(target.incarnation());
 		}
 		else {
-			this.estimates.of(target).markFull(now + this.settings.comeBackMillis());
+			this.estimates.of(target).markFull(now + this.settings.retryAfterMillis());
 		}
 		this.audit.record(call.event(AuditKind.RETRIED, target.id(), "not run there: status " + head.status()));
 		handleNotAccepted(call, attempt, "status " + head.status(), now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -166,7 +166,7 @@
 				call.isStreaming());
 		return isAllowed && !this.poison.isQuarantined(call, now) && call.possibleRuns() < request.route().maxAttempts()
 				&& call.attempts() < this.settings.maxAttempts()
-				&& call.dueAt() - now > request.route().goalMillis() / this.settings.timeShareToTryAgain()
+				&& call.dueAt() - now > request.route().goalMillis() / this.settings.retryTimeDivisor()
 				&& this.sender.hasAlternative(call, attempt.target(), now)
 				&& this.retryBudget.tryAcquire(request.service(), now);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
@@ -56,11 +56,11 @@
 
 	// Refuses a call for which no target is eligible.
 	void refuse(DirectCall call, RefusalReason reason, NoTargetReason noTargetReason, long now) {
-		refuse(call, reason, noTargetReason.detail(), noTargetReason.retryAfterMillis().orElse(this.settings.comeBackMillis()), now);
+		refuse(call, reason, noTargetReason.detail(), noTargetReason.retryAfterMillis().orElse(this.settings.retryAfterMillis()), now);
 	}
 
 	void refuse(DirectCall call, RefusalReason reason, String detail, long now) {
-		refuse(call, reason, detail, this.settings.comeBackMillis(), now);
+		refuse(call, reason, detail, this.settings.retryAfterMillis(), now);
 	}
 
 	private void refuse(DirectCall call, RefusalReason reason, String detail, long comeBackMillis, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DispatchSettings.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DispatchSettings.java
@@ -13,16 +13,16 @@
  * targets
  * @param answerSlackMillis the time in milliseconds after the deadline during which an
  * answer of the target is still awaited
- * @param comeBackMillis the default retry delay of refused callers in milliseconds
- * @param silenceGoals the number of response-time goals without an answer after which a
+ * @param retryAfterMillis the default retry delay of refused callers in milliseconds
+ * @param noResponseGoals the number of response-time goals without an answer after which a
  * target counts as unresponsive
- * @param timeShareToTryAgain the divisor of the response-time goal that gives the
+ * @param retryTimeDivisor the divisor of the response-time goal that gives the
  * remaining time needed for a retry
  * @param mechanisms the enabled optional mechanisms
  * @since 0.2
  */
 public record DispatchSettings(long connectMillis, int maxAttempts, int maxConnections, long answerSlackMillis,
-		long comeBackMillis, double silenceGoals, int timeShareToTryAgain, Mechanisms mechanisms) {
+		long retryAfterMillis, double noResponseGoals, int retryTimeDivisor, Mechanisms mechanisms) {
 
 	/**
 	 * Create the default settings.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -192,7 +192,7 @@
 			this.timers.schedule(firstEventDueAt, (t) -> this.continuation.handleFirstEventTimeout(call, found.get(), t));
 		}
 		if (call.request().route().kind() != RequestKind.STREAMING) {
-			long responseDueAt = now + (long) (call.request().route().goalMillis() * this.settings.silenceGoals());
+			long responseDueAt = now + (long) (call.request().route().goalMillis() * this.settings.noResponseGoals());
 			this.timers.schedule(responseDueAt,
 					(t) -> find(number, attempt).ifPresent((a) -> this.outcomes.handleNoResponse(call, a, t)));
 		}
