--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -154,7 +154,7 @@
 		else if (call.successor().isPresent()) {
 			this.sender.abandon(call, attempt);
 		}
-		else if (call.request().work().isPresent() && (this.continuation.resumeAtBackup(call, cause, now)
+		else if (call.request().size().isPresent() && (this.continuation.resumeAtBackup(call, cause, now)
 				|| this.continuation.resumeAtStandby(call, cause, now))) {
 			this.sender.abandon(call, attempt);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -114,7 +114,7 @@
 	}
 
 	private boolean isSubjectToAdmission(DirectCall call) {
-		return this.admissionEnabled && call.request().work().isPresent();
+		return this.admissionEnabled && call.request().size().isPresent();
 	}
 
 	// The time until memory is available, or empty if the generation can start in time.
@@ -128,7 +128,7 @@
 	private long retryAfterMillis(DirectCall call, long waitMillis, EngineSpec engine, long now) {
 		double ownMemory = this.sender.memoryTokens(call.request().service(), engine) / this.entries.entries();
 		double releasedIn = call.request()
-			.work()
+			.size()
 			.map((w) -> this.admission.memoryReleaseMillis(w, ownMemory))
 			.orElse(0.0);
 		return this.retryAfterSchedule.nextRetryAfterMillis(call.request().service(), call.request().route().priority(),
@@ -137,7 +137,7 @@
 
 	// Records the duration of a generation that completed.
 	void recordCompleted(DirectCall call, long now) {
-		call.request().work().ifPresent((w) -> this.admission.recordLifetime(w, now - call.openedAt()));
+		call.request().size().ifPresent((w) -> this.admission.recordLifetime(w, now - call.openedAt()));
 	}
 
 	// Sends a call to a target and starts the connect timeout.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -63,7 +63,7 @@
 	}
 
 	Optional<ListedTarget> choose(DirectCall call, Optional<EngineSpec> engine, long now) {
-		Optional<GenerationSize> size = call.request().work();
+		Optional<GenerationSize> size = call.request().size();
 		if (engine.isPresent() && size.isPresent()) {
 			return this.chooser.chooseEngine(call.filter(), engine.get(), size.get(), now);
 		}
@@ -130,7 +130,7 @@
 		this.eligibility.recordSent(target, now);
 		reserve(attempt, reservedTokens(call, engine));
 		if (resume.isEmpty()) {
-			updatePendingPromptTokens(attempt, call.request().work().map(GenerationSize::promptTokens).orElse(0L));
+			updatePendingPromptTokens(attempt, call.request().size().map(GenerationSize::promptTokens).orElse(0L));
 		}
 		this.outputs.send(call.number(), attempt.number(), target, new SendParameters(call.request().account(),
 				call.request().route().priority(), resume, backup.map(ListedTarget::address)));
@@ -205,7 +205,7 @@
 	private static long reservedTokens(DirectCall call, Optional<EngineSpec> engine) {
 		long generated = (call.lastEvent() + 1) * engine.map(EngineSpec::tokensPerEvent).orElse(0);
 		long roundedDown = generated - generated % GROWTH_STEP_TOKENS;
-		return call.request().work().map((w) -> w.reservedTokens(roundedDown)).orElse(0L);
+		return call.request().size().map((w) -> w.reservedTokens(roundedDown)).orElse(0L);
 	}
 
 	private void reserve(Attempt attempt, long tokens) {
@@ -227,7 +227,7 @@
 	}
 
 	private Optional<ListedTarget> chooseBackup(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
-		Optional<GenerationSize> size = call.request().work();
+		Optional<GenerationSize> size = call.request().size();
 		if (!this.mechanisms.use(Mechanism.RUNNING_COPIES) || !engine.backups() || size.isEmpty()
 				|| size.get().isShort()
 				|| this.chooser.fleetUtilization(target.service(), engine, now) > MAX_FLEET_UTILIZATION) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
@@ -80,7 +80,7 @@
 
 	// The time at which the caller gives up.
 	long callerTimeoutAt() {
-		return this.openedAt + this.request.patienceMillis();
+		return this.openedAt + this.request.callerTimeoutMillis();
 	}
 
 	// The deadline of the final answer.
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectRequest.java
@@ -14,15 +14,15 @@
  * @param route the matching route
  * @param service the service that answers the request
  * @param account the client account, or empty text on an open route
- * @param patienceMillis the time from now, in milliseconds, after which the caller gives
+ * @param callerTimeoutMillis the time from now, in milliseconds, after which the caller gives
  * up
  * @param regions the regions in which the request may be served
  * @param digest the digest that identifies repetitions of the same request
- * @param work the tokens it demands from an engine; empty for a plain service
+ * @param size the tokens it demands from an engine; empty for a plain service
  * @since 0.2
  */
-public record DirectRequest(String id, RouteSpec route, String service, String account, long patienceMillis,
-		AllowedRegions regions, RequestDigest digest, Optional<GenerationSize> work) {
+public record DirectRequest(String id, RouteSpec route, String service, String account, long callerTimeoutMillis,
+		AllowedRegions regions, RequestDigest digest, Optional<GenerationSize> size) {
 
 	public DirectRequest {
 		Objects.requireNonNull(id, "id must not be null");
@@ -31,7 +31,7 @@
 		Objects.requireNonNull(account, "account must not be null");
 		Objects.requireNonNull(regions, "regions must not be null");
 		Objects.requireNonNull(digest, "digest must not be null");
-		Objects.requireNonNull(work, "work must not be null");
+		Objects.requireNonNull(size, "size must not be null");
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -508,7 +508,7 @@
 		return "route " + request.route().name() + " of plan " + this.plan.map(ServingPlan::version).orElse(0L)
 				+ ", service " + request.service() + ", " + request.route().kind() + ", due in "
 				+ (call.dueAt() - call.openedAt()) + " ms, digest " + request.digest().label()
-				+ request.work()
+				+ request.size()
 					.map((w) -> ", tokens " + w.promptTokens() + " in, " + w.maxTokens() + " out")
 					.orElse("");
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -111,7 +111,7 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	void schedule(DirectCall call, Attempt attempt, Optional<EngineSpec> engine, long now) {
-		boolean isLong = call.request().work().filter((w) -> !w.isShort()).isPresent();
+		boolean isLong = call.request().size().filter((w) -> !w.isShort()).isPresent();
 		if (this.enabled && isLong && engine.filter(EngineSpec::moves).isPresent()) {
 			scheduleRefresh(call, attempt, engine.get(), now + MIN_RUNNING_MILLIS);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -404,7 +404,7 @@
 	// A generation that finishes within the reclaim notice needs no move and would only
 	// delay others.
 	private static boolean endsSoon(DirectCall call) {
-		return call.request().work().filter((w) -> w.maxTokens() >= SHORT_GENERATION_TOKENS).isEmpty();
+		return call.request().size().filter((w) -> w.maxTokens() >= SHORT_GENERATION_TOKENS).isEmpty();
 	}
 
 	private void record(DirectCall call, GenerationMove move, String cause) {
