--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/ColdTargetsTests.java
@@ -141,13 +141,13 @@
 		harness.coldPerSecond = 4;
 		harness.directory.put(cold("i-1", 3_000));
 		harness.open(1, RequestKind.SAFE, 2);
-		assertThat(harness.arrive().target().id()).isEqualTo("i-1");
+		assertThat(harness.sendLast().target().id()).isEqualTo("i-1");
 		harness.passTime(200);
 		harness.open(2, RequestKind.SAFE, 2);
 		assertThat(harness.refusals.get(2L).retryAfter()).hasValue(Duration.ofMillis(1_000));
 		harness.join(DispatchHarness.PLAIN, "i-2");
 		harness.open(3, RequestKind.SAFE, 2);
-		assertThat(harness.arrive().target().id()).isEqualTo("i-2");
+		assertThat(harness.sendLast().target().id()).isEqualTo("i-2");
 		harness.passTime(1_000);
 		assertThat(harness.eligibility.acceptsWork(harness.sent.get(0).target(), harness.now)).isTrue();
 	}
@@ -158,7 +158,7 @@
 		harness.coldPerSecond = 4;
 		ListedTarget plain = harness.join(DispatchHarness.PLAIN, "i-1");
 		harness.open(1, RequestKind.SAFE, 2);
-		DispatchHarness.Sent first = harness.arrive();
+		DispatchHarness.Sent first = harness.sendLast();
 		harness.dispatcher.headReceived(1, first.attempt(), new AnswerHead(200, "request-1", true, false, false, false,
 				java.util.Optional.empty(), OptionalLong.of(2_000), BackpressureSignals.NONE), harness.now);
 		harness.open(2, RequestKind.SAFE, 2);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatchHarness.java
@@ -67,7 +67,7 @@
 	final List<AuditEvent> audit = new ArrayList<>();
 
 	/** The work of other entries, by target. */
-	final Map<String, WorkAtTarget> others = new TreeMap<>();
+	final Map<String, WorkAtTarget> workOfOthers = new TreeMap<>();
 
 	final Timers timers = new Timers();
 
@@ -83,7 +83,7 @@
 	/** The number of entries, and how many of them rank before this one. */
 	int entries = 1;
 
-	int before;
+	int rank;
 
 	final ColdTargets cold = new ColdTargets(new ColdRateLimit(1.5, 5), new FixedRanks(), (s) -> this.coldPerSecond,
 			(e) -> this.audit.add(e));
@@ -97,9 +97,9 @@
 	 * Incarnations of targets whose back-pressure signals were to be announced
 	 * immediately.
 	 */
-	final List<TargetIncarnation> needsToTell = new ArrayList<>();
+	final List<TargetIncarnation> announcedSignals = new ArrayList<>();
 
-	final TargetBackpressure backpressure = new TargetBackpressure(this.limits, this.needsToTell::add, (e) -> this.audit.add(e));
+	final TargetBackpressure backpressure = new TargetBackpressure(this.limits, this.announcedSignals::add, (e) -> this.audit.add(e));
 
 	final Eligibility eligibility = new Eligibility(this.directory, this.estimates, this.cold, this.backpressure,
 			Map.of("dc", "north", "dc2", "north", "dc3", "south"));
@@ -126,9 +126,9 @@
 	private final Map<Long, RequestDigest> digests = new TreeMap<>();
 
 	/** Whether suspicions are being received from another entry. */
-	boolean hearing;
+	boolean receivingGossip;
 
-	boolean ourTurn = true;
+	boolean mayCopy = true;
 
 	long now;
 
@@ -171,7 +171,7 @@
 		return target;
 	}
 
-	void leave(ListedTarget target) {
+	void drain(ListedTarget target) {
 		this.directory.put(new ListedTarget(target.id(), target.service(), target.host(), target.port(),
 				target.dataCentre(), target.slots(), true));
 		settle();
@@ -181,7 +181,7 @@
 	 * Remove a target from the directory.
 	 * @param target the target to remove
 	 */
-	void end(ListedTarget target) {
+	void remove(ListedTarget target) {
 		this.directory.remove(target.id(), this.now);
 		settle();
 	}
@@ -191,7 +191,7 @@
 	 * @param target the incarnation that ends
 	 * @return the newly listed incarnation
 	 */
-	ListedTarget startAgain(ListedTarget target) {
+	ListedTarget restart(ListedTarget target) {
 		ListedTarget started = target.withStartMillis(OptionalLong.of(target.startMillis().orElse(0) + 1));
 		this.directory.put(started);
 		settle();
@@ -225,7 +225,7 @@
 	 * @param call the number of the call
 	 * @param same the digest to share
 	 */
-	void asks(long call, RequestDigest same) {
+	void shareDigest(long call, RequestDigest same) {
 		this.digests.put(call, same);
 	}
 
@@ -235,7 +235,7 @@
 	}
 
 	private Optional<WorkAtTarget> findWorkOfOthers(TargetIncarnation target) {
-		return Optional.ofNullable(this.others.get(target.id())).filter((w) -> w.target().equals(target));
+		return Optional.ofNullable(this.workOfOthers.get(target.id())).filter((w) -> w.target().equals(target));
 	}
 
 	static String id(long call) {
@@ -246,7 +246,7 @@
 	 * Establish the connection of the most recent attempt and send its request.
 	 * @return the most recent attempt
 	 */
-	Sent arrive() {
+	Sent sendLast() {
 		Sent last = this.sent.get(this.sent.size() - 1);
 		assertReady(last);
 		return last;
@@ -276,7 +276,7 @@
 		return passed;
 	}
 
-	void breakOff(Sent attempt) {
+	void breakConnection(Sent attempt) {
 		this.dispatcher.attemptBroken(attempt.call(), attempt.attempt(), "reset", this.now);
 		settle();
 	}
@@ -380,12 +380,12 @@
 
 		@Override
 		public boolean isOwnTurn(ListedTarget source, long sinceNotice, long now) {
-			return DispatchHarness.this.ourTurn;
+			return DispatchHarness.this.mayCopy;
 		}
 
 		@Override
 		public boolean areLinksIdle(ListedTarget source, ListedTarget destination) {
-			return DispatchHarness.this.ourTurn;
+			return DispatchHarness.this.mayCopy;
 		}
 
 	}
@@ -399,7 +399,7 @@
 
 		@Override
 		public int rankFor(String target) {
-			return DispatchHarness.this.before;
+			return DispatchHarness.this.rank;
 		}
 
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherFuzzTests.java
@@ -219,7 +219,7 @@
 			this.evacuationRandom.ifPresent((p) -> restrictRegions(call, p));
 			this.suspicionRandom.ifPresent((c) -> {
 				this.digests.put(call, digest(c));
-				this.harness.asks(call, this.digests.get(call));
+				this.harness.shareDigest(call, this.digests.get(call));
 			});
 			RequestKind kind = RequestKind.values()[this.random.nextInt(3)];
 			this.kinds.put(call, kind);
@@ -262,7 +262,7 @@
 			if (choice == 0) {
 				recordRun(sent);
 				this.atTarget.remove(index);
-				this.harness.breakOff(sent);
+				this.harness.breakConnection(sent);
 			}
 			else if (choice <= 2 && !this.nextEvent.containsKey(key(sent))) {
 				this.atTarget.remove(index);
@@ -333,7 +333,7 @@
 				join();
 			}
 			else if (choice == 1 && this.targets.size() > 2) {
-				this.harness.leave(this.targets.remove(this.random.nextInt(this.targets.size())));
+				this.harness.drain(this.targets.remove(this.random.nextInt(this.targets.size())));
 			}
 			else if (choice == 2 && !this.kinds.isEmpty()) {
 				List<Long> all = new ArrayList<>(this.kinds.keySet());
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/DispatcherTests.java
@@ -41,7 +41,7 @@
 	void deliversCompleteAnswer() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		this.harness.answer(this.harness.arrive(), 200, false);
+		this.harness.answer(this.harness.sendLast(), 200, false);
 		assertThat(this.harness.answers(1)).containsExactly("delivered 1");
 		assertThat(this.harness.dispatcher.openCalls()).isEqualTo(0);
 	}
@@ -59,7 +59,7 @@
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.join(DispatchHarness.PLAIN, "b");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		this.harness.breakOff(this.harness.arrive());
+		this.harness.breakConnection(this.harness.sendLast());
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).containsExactly("refused 502");
 		assertThat(this.harness.refusals.get(1L).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
@@ -70,9 +70,9 @@
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.join(DispatchHarness.PLAIN, "b");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.answer(first, 503, true);
-		Sent second = this.harness.arrive();
+		Sent second = this.harness.sendLast();
 		assertThat(second.target().id()).isNotEqualTo(first.target().id());
 		this.harness.answer(second, 503, true);
 		assertThat(this.harness.answers(1)).containsExactly("refused 503");
@@ -85,8 +85,8 @@
 		this.harness.join(DispatchHarness.PLAIN, "b");
 		this.harness.join(DispatchHarness.PLAIN, "c");
 		this.harness.open(1, RequestKind.SAFE, 2);
-		this.harness.answer(this.harness.arrive(), 500, false);
-		this.harness.answer(this.harness.arrive(), 500, false);
+		this.harness.answer(this.harness.sendLast(), 500, false);
+		this.harness.answer(this.harness.sendLast(), 500, false);
 		assertThat(this.harness.sent).hasSize(2);
 		assertThat(this.harness.answers(1)).containsExactly("delivered 2");
 	}
@@ -96,8 +96,8 @@
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.join(DispatchHarness.PLAIN, "b");
 		this.harness.open(1, RequestKind.SAFE, 2);
-		this.harness.answer(this.harness.arrive(), 500, false);
-		this.harness.answer(this.harness.arrive(), 503, true);
+		this.harness.answer(this.harness.sendLast(), 500, false);
+		this.harness.answer(this.harness.sendLast(), 503, true);
 		assertThat(this.harness.answers(1)).containsExactly("refused 502");
 	}
 
@@ -109,7 +109,7 @@
 		limited.open(1, RequestKind.UNSAFE, 1);
 		Sent first = limited.sent.get(0);
 		limited.dispatcher.connectFailed(first.call(), first.attempt(), ConnectFault.REFUSED, "refused", 0);
-		limited.answer(limited.arrive(), 200, false);
+		limited.answer(limited.sendLast(), 200, false);
 		assertThat(limited.answers(1)).containsExactly("delivered 2");
 	}
 
@@ -118,7 +118,7 @@
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.join(DispatchHarness.PLAIN, "b");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		this.harness.answer(this.harness.arrive(), 200, false);
+		this.harness.answer(this.harness.sendLast(), 200, false);
 		this.harness.open(2, RequestKind.UNSAFE, 1);
 		this.harness.passTime(300);
 		assertThat(this.harness.abandoned).contains("2/1");
@@ -132,7 +132,7 @@
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		this.harness.passTime(700);
 		assertThat(this.harness.sent).hasSize(1);
-		this.harness.answer(this.harness.arrive(), 200, false);
+		this.harness.answer(this.harness.sendLast(), 200, false);
 		assertThat(this.harness.answers(1)).containsExactly("delivered 1");
 	}
 
@@ -152,10 +152,10 @@
 		limited.join(DispatchHarness.PLAIN, "a");
 		limited.join(DispatchHarness.PLAIN, "b");
 		limited.open(1, RequestKind.SAFE, 2);
-		limited.answer(limited.arrive(), 500, false);
-		limited.answer(limited.arrive(), 200, false);
+		limited.answer(limited.sendLast(), 500, false);
+		limited.answer(limited.sendLast(), 200, false);
 		limited.open(2, RequestKind.SAFE, 2);
-		limited.answer(limited.arrive(), 500, false);
+		limited.answer(limited.sendLast(), 500, false);
 		assertThat(limited.answers(2)).containsExactly("delivered 1");
 		assertThat(limited.sent).hasSize(3);
 	}
@@ -164,7 +164,7 @@
 	void doesNotDeliverAnswerToAnotherRequest() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		Sent sent = this.harness.arrive();
+		Sent sent = this.harness.sendLast();
 		AnswerHead other = new AnswerHead(200, "request-77", true, false, false, false, Optional.empty(),
 				OptionalLong.empty(), BackpressureSignals.NONE);
 		this.harness.dispatcher.answered(sent.call(), sent.attempt(), other, 10);
@@ -188,7 +188,7 @@
 	void refusesRequestAtRouteTimeout() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		this.harness.arrive();
+		this.harness.sendLast();
 		this.harness.passTime(1_600);
 		assertThat(this.harness.answers(1)).containsExactly("refused 504");
 		assertThat(this.harness.abandoned).contains("1/1");
@@ -218,9 +218,9 @@
 		ListedTarget a = this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		this.harness.join(DispatchHarness.PLAIN, "b");
-		this.harness.leave(a);
+		this.harness.drain(a);
 		assertThat(this.harness.assertReady(this.harness.sent.get(0))).isFalse();
-		assertThat(this.harness.arrive().target().id()).isEqualTo("b");
+		assertThat(this.harness.sendLast().target().id()).isEqualTo("b");
 	}
 
 	@Test
@@ -228,10 +228,10 @@
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.join(DispatchHarness.PLAIN, "b");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.answer(first, 421, false);
 		assertThat(this.harness.directory.acceptsRequests(first.target().id())).isFalse();
-		this.harness.answer(this.harness.arrive(), 200, false);
+		this.harness.answer(this.harness.sendLast(), 200, false);
 		assertThat(this.harness.answers(1)).containsExactly("delivered 2");
 	}
 
@@ -240,9 +240,9 @@
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.join(DispatchHarness.PLAIN, "b");
 		this.harness.open(1, RequestKind.SAFE, 2);
-		this.harness.arrive();
+		this.harness.sendLast();
 		this.harness.open(2, RequestKind.UNSAFE, 1);
-		this.harness.arrive();
+		this.harness.sendLast();
 		this.harness.passTime(800);
 		assertThat(this.harness.sent.stream().map(Sent::call).toList()).isEqualTo(List.of(1L, 2L, 1L));
 	}
@@ -251,7 +251,7 @@
 	void disconnectionOfCallerFreesTarget() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		this.harness.arrive();
+		this.harness.sendLast();
 		this.harness.dispatcher.callerDisconnected(1, 10);
 		assertThat(this.harness.abandoned).containsExactly("1/1");
 		assertThat(this.harness.answers(1)).isEmpty();
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EngineAdmissionTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EngineAdmissionTests.java
@@ -70,7 +70,7 @@
 	void callersRejectedTogetherReceiveDifferentRetryTimes() {
 		DispatchHarness harness = DispatchHarness.create();
 		harness.join(DispatchHarness.ENGINES, "a");
-		harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 20, 60_000, 0, 0, false, 0, false));
+		harness.workOfOthers.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 20, 60_000, 0, 0, false, 0, false));
 		harness.openStream(1);
 		harness.openStream(2);
 		long first = harness.refusals.get(1L).retryAfter().get().toMillis();
@@ -81,14 +81,14 @@
 	void generationIsRefusedAtOnceWhenAllEnginesAreOvercommitted() {
 		DispatchHarness harness = DispatchHarness.create();
 		harness.join(DispatchHarness.ENGINES, "a");
-		harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 20, 60_000, 0, 0, false, 0, false));
+		harness.workOfOthers.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 20, 60_000, 0, 0, false, 0, false));
 		harness.openStream(1);
 		Refusal refusal = harness.refusals.get(1L);
 		assertThat(refusal.reason()).isEqualTo(RefusalReason.OVERLOADED);
 		assertThat(refusal.verdict()).isEqualTo(Verdict.NOT_RUN);
 		assertThat(refusal.retryAfter().get().toMillis()).isGreaterThan(5_000L);
 		assertThat(harness.sent).isEmpty();
-		harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 8, 29_000, 0, 0, false, 0, false));
+		harness.workOfOthers.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 8, 29_000, 0, 0, false, 0, false));
 		harness.openStream(2);
 		assertThat(harness.sent).hasSize(1);
 	}
@@ -98,8 +98,8 @@
 		DispatchHarness harness = DispatchHarness.create();
 		harness.join(DispatchHarness.ENGINES, "full");
 		harness.join(DispatchHarness.ENGINES, "reading");
-		harness.others.put("full", new WorkAtTarget(TargetIncarnation.of("full"), 12, 45_000, 0, 0, false, 0, false));
-		harness.others.put("reading", new WorkAtTarget(TargetIncarnation.of("reading"), 4, 20_000, 12_000, 0, false, 0, false));
+		harness.workOfOthers.put("full", new WorkAtTarget(TargetIncarnation.of("full"), 12, 45_000, 0, 0, false, 0, false));
+		harness.workOfOthers.put("reading", new WorkAtTarget(TargetIncarnation.of("reading"), 4, 20_000, 12_000, 0, false, 0, false));
 		harness.openStream(1);
 		assertThat(harness.refusals).isEmpty();
 		assertThat(harness.sent.get(0).target().id()).isEqualTo("reading");
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EvacuationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EvacuationTests.java
@@ -35,10 +35,10 @@
 	void sendsNoRetryToEvacuatedDataCentre() {
 		ListedTarget far = this.harness.join(DispatchHarness.PLAIN, "far", "dc2");
 		this.harness.open(1, RequestKind.SAFE, 2);
-		assertThat(this.harness.arrive().target()).isEqualTo(far);
+		assertThat(this.harness.sendLast().target()).isEqualTo(far);
 		this.harness.join(DispatchHarness.PLAIN, "near");
 		this.harness.evacuations.begin("dc");
-		this.harness.breakOff(this.harness.sent.get(0));
+		this.harness.breakConnection(this.harness.sent.get(0));
 		assertThat(this.harness.sent).hasSize(1);
 	}
 
@@ -49,7 +49,7 @@
 		this.harness.join(DispatchHarness.PLAIN, "far", "dc2");
 		this.harness.evacuations.begin("dc");
 		assertThat(this.harness.assertReady(this.harness.sent.get(0))).isFalse();
-		assertThat(this.harness.arrive().target().id()).isEqualTo("far");
+		assertThat(this.harness.sendLast().target().id()).isEqualTo("far");
 	}
 
 	@Test
@@ -65,21 +65,21 @@
 		assertThat(refusal.retryAfter().get().toMillis()).isEqualTo(1_500);
 		this.harness.evacuations.end("dc2");
 		this.harness.open(2, RequestKind.UNSAFE, 1);
-		assertThat(this.harness.arrive().target().id()).isEqualTo("far");
+		assertThat(this.harness.sendLast().target().id()).isEqualTo("far");
 	}
 
 	@Test
 	void generationContinuesInEvacuatedDataCentreUntilEngineDrains() {
 		ListedTarget near = this.harness.join(DispatchHarness.ENGINES, "near");
 		this.harness.openStream(1);
-		DispatchHarness.Sent first = this.harness.arrive();
+		DispatchHarness.Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
 		this.harness.join(DispatchHarness.ENGINES, "near2");
 		this.harness.join(DispatchHarness.ENGINES, "far", "dc2");
 		this.harness.evacuations.begin("dc");
 		assertThat(this.harness.event(first, 1)).isTrue();
 		assertThat(this.harness.copies).isEmpty();
-		this.harness.leave(near);
+		this.harness.drain(near);
 		this.harness.passTime(100);
 		assertThat(this.harness.copies.get(0).destination().id()).isEqualTo("far");
 	}
@@ -89,13 +89,13 @@
 		this.harness.join(DispatchHarness.ENGINES, "near");
 		this.harness.join(DispatchHarness.ENGINES, "far", "dc2");
 		this.harness.openStream(1);
-		DispatchHarness.Sent first = this.harness.arrive();
+		DispatchHarness.Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
 		assertThat(first.order().liveCopy()).isPresent();
 		String copyIn = first.target().dataCentre().equals("dc") ? "dc2" : "dc";
 		this.harness.evacuations.begin(copyIn);
 		assertThat(this.harness.released).containsExactly(first.target().id() + "/request-1");
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).contains("cut");
 	}
@@ -104,9 +104,9 @@
 	void redirectsMoveWhenDestinationIsEvacuated() {
 		ListedTarget near = this.harness.join(DispatchHarness.ENGINES, "near");
 		this.harness.openStream(1);
-		this.harness.event(this.harness.arrive(), 0);
+		this.harness.event(this.harness.sendLast(), 0);
 		this.harness.join(DispatchHarness.ENGINES, "far", "dc2");
-		this.harness.leave(near);
+		this.harness.drain(near);
 		this.harness.passTime(100);
 		this.harness.join(DispatchHarness.ENGINES, "farther", "dc3");
 		this.harness.evacuations.begin("dc2");
@@ -120,16 +120,16 @@
 	void stoppedGenerationDoesNotReturnToEvacuatedDataCentre() {
 		ListedTarget near = this.harness.join(DispatchHarness.ENGINES, "near");
 		this.harness.openStream(1);
-		DispatchHarness.Sent first = this.harness.arrive();
+		DispatchHarness.Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
 		this.harness.join(DispatchHarness.ENGINES, "far", "dc2");
 		this.harness.evacuations.begin("dc");
-		this.harness.leave(near);
+		this.harness.drain(near);
 		this.harness.passTime(100);
 		this.harness.copied(CopyResult.Outcome.COPIED, "h1");
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		this.harness.copied(CopyResult.Outcome.COPIED, "h1");
-		DispatchHarness.Sent second = this.harness.arrive();
+		DispatchHarness.Sent second = this.harness.sendLast();
 		assertThat(second.target().id()).isEqualTo("far");
 		this.harness.answer(second, 503, true);
 		assertThat(this.harness.sent).hasSize(2);
@@ -145,7 +145,7 @@
 			this.harness.open(call, RequestKind.SAFE, 2);
 		}
 		assertThat(this.harness.sent.stream().map((s) -> s.target().id()).distinct()).containsExactly("south");
-		this.harness.breakOff(this.harness.arrive());
+		this.harness.breakConnection(this.harness.sendLast());
 		assertThat(this.harness.sent).hasSize(10);
 	}
 
@@ -170,9 +170,9 @@
 		ListedTarget near = this.harness.join(DispatchHarness.ENGINES, "near");
 		this.harness.regions = AllowedRegions.of(List.of("north"));
 		this.harness.openStream(1);
-		this.harness.event(this.harness.arrive(), 0);
+		this.harness.event(this.harness.sendLast(), 0);
 		this.harness.join(DispatchHarness.ENGINES, "south", "dc3");
-		this.harness.leave(near);
+		this.harness.drain(near);
 		this.harness.passTime(1_000);
 		assertThat(this.harness.copies).isEmpty();
 		this.harness.join(DispatchHarness.ENGINES, "north2", "dc2");
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/MechanismsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/MechanismsTests.java
@@ -17,7 +17,7 @@
 		DispatchHarness harness = DispatchHarness.without(Mechanism.RUNNING_COPIES);
 		Sent sent = stream(harness);
 		assertThat(sent.order().liveCopy().isEmpty()).isTrue();
-		harness.leave(sent.target());
+		harness.drain(sent.target());
 		harness.passTime(90);
 		assertThat(harness.copies).hasSize(1);
 	}
@@ -27,10 +27,10 @@
 		DispatchHarness harness = DispatchHarness.without(Mechanism.COPIES_AT_NOTICE);
 		harness.join(DispatchHarness.ENGINES, "a");
 		harness.openStream(1);
-		Sent sent = harness.arrive();
+		Sent sent = harness.sendLast();
 		harness.event(sent, 0);
 		harness.join(DispatchHarness.ENGINES, "b");
-		harness.leave(sent.target());
+		harness.drain(sent.target());
 		harness.passTime(300);
 		assertThat(harness.copies).isEmpty();
 	}
@@ -40,7 +40,7 @@
 		DispatchHarness harness = DispatchHarness.without(Mechanism.STANDBY_COPIES);
 		harness.join(DispatchHarness.ENGINES, "a");
 		harness.openStream(1);
-		harness.event(harness.arrive(), 0);
+		harness.event(harness.sendLast(), 0);
 		harness.join(DispatchHarness.ENGINES, "b");
 		harness.passTime(2_000);
 		assertThat(harness.copies).isEmpty();
@@ -60,7 +60,7 @@
 		harness.join(DispatchHarness.ENGINES, "a");
 		harness.join(DispatchHarness.ENGINES, "b");
 		harness.openStream(1);
-		Sent sent = harness.arrive();
+		Sent sent = harness.sendLast();
 		harness.event(sent, 0);
 		return sent;
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
@@ -60,7 +60,7 @@
 		for (int i = 0; i < entries; i++) {
 			DispatchHarness entry = new DispatchHarness(1, 100, seed * 100 + i);
 			entry.entries = entries;
-			entry.before = i;
+			entry.rank = i;
 			this.entries.add(entry);
 			this.open.put(entry, new HashMap<>());
 		}
@@ -126,7 +126,7 @@
 				WorkAtTarget none = WorkAtTarget.none(incarnation);
 				WorkAtTarget sum = all.getOrDefault(engine, none);
 				WorkAtTarget own = work.get(entry).getOrDefault(engine, none);
-				entry.others.put(engine,
+				entry.workOfOthers.put(engine,
 						new WorkAtTarget(incarnation, sum.requests() - own.requests(), sum.reservedTokens() - own.reservedTokens(),
 								sum.pendingPromptTokens() - own.pendingPromptTokens(), 0, false, 0, false));
 			}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
@@ -94,7 +94,7 @@
 		for (int i = 0; i < entries; i++) {
 			DispatchHarness entry = new DispatchHarness(1, 1_000, seed * 100 + i, Mechanisms.all(), settings);
 			entry.entries = entries;
-			entry.before = i;
+			entry.rank = i;
 			this.entries.add(entry);
 			this.handled.put(entry, 0);
 		}
@@ -102,7 +102,7 @@
 			SuspectGossip gossip = new SuspectGossip(entry.suspects, () -> addresses(entry), this::sendReports,
 					this.timers, this.random);
 			entry.onSuspicion = (d) -> {
-				if (!entry.hearing) {
+				if (!entry.receivingGossip) {
 					gossip.report(d, this.now);
 				}
 			};
@@ -289,7 +289,7 @@
 		}
 		for (Run run : List.copyOf(engine.runs)) {
 			if (run.isOpen()) {
-				run.entry.breakOff(run.sent);
+				run.entry.breakConnection(run.sent);
 				processOutputs(run.entry);
 				handleEnd(run.entry, run.sent.call());
 			}
@@ -315,9 +315,9 @@
 			if (this.random.nextDouble() >= DATAGRAM_LOSS) {
 				DispatchHarness entry = this.entries.get(Integer.parseInt(address));
 				this.timers.schedule(this.now + ONE_WAY_MILLIS, (t) -> {
-					entry.hearing = true;
+					entry.receivingGossip = true;
 					reports.forEach((r) -> entry.suspects.handleReport(r, t));
-					entry.hearing = false;
+					entry.receivingGossip = false;
 				});
 			}
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedRequestTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedRequestTests.java
@@ -36,7 +36,7 @@
 		int calls = 0;
 		while (calls < 8) {
 			calls++;
-			this.harness.asks(calls, SAME);
+			this.harness.shareDigest(calls, SAME);
 			this.harness.openStream(calls);
 			crashTargetsOfAllAttempts();
 		}
@@ -51,7 +51,7 @@
 	void repeatableRequestThatCrashedThreeTargetsIsNotRetried() {
 		List.of("a", "b", "c", "d", "e").forEach((id) -> this.harness.join(DispatchHarness.PLAIN, id));
 		for (int call = 1; call <= 3; call++) {
-			this.harness.asks(call, SAME);
+			this.harness.shareDigest(call, SAME);
 			this.harness.open(call, RequestKind.SAFE, 4);
 			crashTargetsOfAllAttempts();
 		}
@@ -61,10 +61,10 @@
 	@Test
 	void callsInProgressEndWhenTheirRequestIsQuarantined() {
 		List.of("a", "b", "c", "d").forEach((id) -> this.harness.join(DispatchHarness.ENGINES, id));
-		this.harness.asks(1, SAME);
+		this.harness.shareDigest(1, SAME);
 		this.harness.openStream(1);
-		DispatchHarness.Sent reading = this.harness.arrive();
-		this.harness.asks(2, SAME);
+		DispatchHarness.Sent reading = this.harness.sendLast();
+		this.harness.shareDigest(2, SAME);
 		this.harness.openStream(2);
 		quarantine();
 		assertThat(this.harness.abandoned).containsAtLeast("1/1", "2/1");
@@ -76,13 +76,13 @@
 	@Test
 	void startedGenerationContinuesButIsNotResumedAtACopy() {
 		List.of("a", "b", "c").forEach((id) -> this.harness.join(DispatchHarness.ENGINES, id));
-		this.harness.asks(1, SAME);
+		this.harness.shareDigest(1, SAME);
 		this.harness.openStream(1);
-		DispatchHarness.Sent first = this.harness.arrive();
+		DispatchHarness.Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
 		quarantine();
 		assertThat(this.harness.event(first, 1)).isTrue();
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
@@ -90,7 +90,7 @@
 	@Test
 	void quarantinedRequestIsNotWrittenToNewConnection() {
 		List.of("a", "b").forEach((id) -> this.harness.join(DispatchHarness.PLAIN, id));
-		this.harness.asks(1, SAME);
+		this.harness.shareDigest(1, SAME);
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		quarantine();
 		assertThat(this.harness.assertReady(this.harness.sent.get(0))).isFalse();
@@ -101,11 +101,11 @@
 	void connectionResetAloneIsNoCrash() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
-		this.harness.breakOff(sent);
+		this.harness.breakConnection(sent);
 		this.harness.passTime(300);
 		assertThat(this.harness.checked).hasSize(3);
 		this.harness.dispatcher.probed(sent.target(), false, this.harness.now);
-		this.harness.end(sent.target());
+		this.harness.remove(sent.target());
 		assertThat(this.harness.suspected).isEmpty();
 	}
 
@@ -113,7 +113,7 @@
 	void refusedConnectionAfterABrokenOneIsACrash() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
-		this.harness.breakOff(sent);
+		this.harness.breakConnection(sent);
 		assertThat(this.harness.checked).containsExactly(sent.target());
 		// A process that crashes may close its connections before its port.
 		this.harness.dispatcher.probed(sent.target(), false, this.harness.now);
@@ -131,12 +131,12 @@
 	void callWhoseRefusedConnectionCausesTheQuarantineEndsOnce() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
-		this.harness.asks(2, SAME);
+		this.harness.shareDigest(2, SAME);
 		this.harness.open(2, RequestKind.UNSAFE, 1);
 		for (String id : List.of("x", "y")) {
 			this.harness.suspects.recordCrash(SAME, TargetIncarnation.of(id), this.harness.now, this.harness.now);
 		}
-		this.harness.breakOff(sent);
+		this.harness.breakConnection(sent);
 		this.harness.dispatcher.connectFailed(2, 1, ConnectFault.REFUSED, "refused", this.harness.now);
 		assertThat(this.harness.answers(2)).containsExactly("refused 503");
 		assertThat(this.harness.estimates.of(target).inFlight()).isEqualTo(0);
@@ -146,9 +146,9 @@
 	void crashLongAfterABrokenConnectionIsUnrelated() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
-		this.harness.breakOff(sent);
+		this.harness.breakConnection(sent);
 		this.harness.passTime(5_000);
-		this.harness.end(sent.target());
+		this.harness.remove(sent.target());
 		assertThat(this.harness.suspected).isEmpty();
 	}
 
@@ -156,10 +156,10 @@
 	void requestAtDrainingTargetIsNotSuspected() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "a");
 		DispatchHarness.Sent sent = sendOne();
-		this.harness.leave(target);
-		this.harness.breakOff(sent);
+		this.harness.drain(target);
+		this.harness.breakConnection(sent);
 		this.harness.dispatcher.probed(target, true, this.harness.now);
-		this.harness.end(target);
+		this.harness.remove(target);
 		assertThat(this.harness.suspected).isEmpty();
 	}
 
@@ -167,7 +167,7 @@
 	void restartedTargetCrashedWhileExecutingItsRequests() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "a");
 		sendOne();
-		this.harness.startAgain(target);
+		this.harness.restart(target);
 		assertThat(this.harness.suspected).containsExactly(SAME);
 	}
 
@@ -175,17 +175,17 @@
 	void targetRestartedAfterItsNoticeDidNotCrash() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "a");
 		sendOne();
-		this.harness.leave(target);
-		this.harness.startAgain(target);
+		this.harness.drain(target);
+		this.harness.restart(target);
 		assertThat(this.harness.suspected).isEmpty();
 	}
 
 	@Test
 	void generationThatSentEventsForTwoSecondsIsCleared() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
-		this.harness.asks(1, SAME);
+		this.harness.shareDigest(1, SAME);
 		this.harness.openStream(1);
-		DispatchHarness.Sent sent = this.harness.arrive();
+		DispatchHarness.Sent sent = this.harness.sendLast();
 		this.harness.suspects.recordCrash(SAME, TargetIncarnation.of("x"), this.harness.now, this.harness.now);
 		this.harness.event(sent, 0);
 		this.harness.passTime(1_999);
@@ -195,21 +195,21 @@
 		this.harness.event(sent, 2);
 		assertThat(this.harness.cleared).containsExactly(SAME);
 		this.harness.suspected.clear();
-		this.harness.breakOff(sent);
-		this.harness.end(sent.target());
+		this.harness.breakConnection(sent);
+		this.harness.remove(sent.target());
 		assertThat(this.harness.suspected).isEmpty();
 	}
 
 	@Test
 	void generationThatBrokeEarlierIsSuspected() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
-		this.harness.asks(1, SAME);
+		this.harness.shareDigest(1, SAME);
 		this.harness.openStream(1);
-		DispatchHarness.Sent sent = this.harness.arrive();
+		DispatchHarness.Sent sent = this.harness.sendLast();
 		this.harness.event(sent, 0);
 		this.harness.passTime(70);
-		this.harness.breakOff(sent);
-		this.harness.end(sent.target());
+		this.harness.breakConnection(sent);
+		this.harness.remove(sent.target());
 		assertThat(this.harness.suspected).containsExactly(SAME);
 	}
 
@@ -220,9 +220,9 @@
 		this.harness.suspects.recordCrash(SAME, TargetIncarnation.of("x"), this.harness.now, this.harness.now);
 		this.harness.answer(sent, 500, false);
 		assertThat(this.harness.cleared).isEmpty();
-		this.harness.asks(2, SAME);
+		this.harness.shareDigest(2, SAME);
 		this.harness.open(2, RequestKind.UNSAFE, 1);
-		this.harness.answer(this.harness.arrive(), 200, false);
+		this.harness.answer(this.harness.sendLast(), 200, false);
 		assertThat(this.harness.cleared).containsExactly(SAME);
 	}
 
@@ -233,7 +233,7 @@
 		for (String id : List.of("x", "y", "z")) {
 			withoutQuarantine.suspects.recordCrash(SAME, TargetIncarnation.of(id), 0, 0);
 		}
-		withoutQuarantine.asks(1, SAME);
+		withoutQuarantine.shareDigest(1, SAME);
 		withoutQuarantine.open(1, RequestKind.UNSAFE, 1);
 		assertThat(withoutQuarantine.sent).hasSize(1);
 	}
@@ -246,9 +246,9 @@
 	}
 
 	private DispatchHarness.Sent sendOne() {
-		this.harness.asks(1, SAME);
+		this.harness.shareDigest(1, SAME);
 		this.harness.open(1, RequestKind.UNSAFE, 1);
-		return this.harness.arrive();
+		return this.harness.sendLast();
 	}
 
 	// Crashes the target of each attempt, including those that resume at a copy.
@@ -258,8 +258,8 @@
 			this.processedAttempts++;
 			if (this.harness.assertReady(attempt)) {
 				this.harness.passTime(CRASH_DELAY_MILLIS);
-				this.harness.breakOff(attempt);
-				this.harness.end(attempt.target());
+				this.harness.breakConnection(attempt);
+				this.harness.remove(attempt.target());
 			}
 		}
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RestartedTargetTests.java
@@ -29,11 +29,11 @@
 	void newIncarnationHasNoRecordedState() {
 		ListedTarget former = this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1);
-		this.harness.arrive();
+		this.harness.sendLast();
 		this.harness.estimates.recordRefusedConnection(former);
 		this.harness.estimates.recordAnnouncedDraining(former);
-		this.harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 3, 9_000, 0, 0, true, 4, true));
-		ListedTarget started = this.harness.startAgain(former);
+		this.harness.workOfOthers.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 3, 9_000, 0, 0, true, 4, true));
+		ListedTarget started = this.harness.restart(former);
 		TargetEstimate estimate = this.harness.estimates.of(started);
 		assertThat(estimate.inFlight()).isEqualTo(0);
 		assertThat(estimate.reservedTokens()).isEqualTo(0);
@@ -51,8 +51,8 @@
 		this.harness.coldPerSecond = 1;
 		ListedTarget former = this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.cold.recordCold(former, 60_000, this.harness.now);
-		this.harness.before = 5;
-		ListedTarget started = this.harness.startAgain(former);
+		this.harness.rank = 5;
+		ListedTarget started = this.harness.restart(former);
 		assertThat(this.harness.cold.accepts(started, this.harness.now)).isTrue();
 	}
 
@@ -60,8 +60,8 @@
 	void unsafeRequestAtFormerIncarnationIsNotRetriedAtTheNewOne() {
 		ListedTarget former = this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.open(1, RequestKind.UNSAFE, 3);
-		Sent sent = this.harness.arrive();
-		this.harness.startAgain(former);
+		Sent sent = this.harness.sendLast();
+		this.harness.restart(former);
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.refusals.get(1L).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 		assertThat(this.harness.refusals.get(1L).reason().status()).isEqualTo(502);
@@ -72,10 +72,10 @@
 	void safeRequestAtFormerIncarnationIsRetriedAtAnotherTarget() {
 		ListedTarget former = this.harness.join(DispatchHarness.PLAIN, "a");
 		this.harness.open(1, RequestKind.SAFE, 3);
-		this.harness.arrive();
+		this.harness.sendLast();
 		this.harness.join(DispatchHarness.PLAIN, "b");
-		this.harness.startAgain(former);
-		assertThat(this.harness.arrive().target().id()).isEqualTo("b");
+		this.harness.restart(former);
+		assertThat(this.harness.sendLast().target().id()).isEqualTo("b");
 		assertThat(this.harness.answers(1)).isEmpty();
 	}
 
@@ -85,16 +85,16 @@
 		this.harness.open(1, RequestKind.UNSAFE, 3);
 		Sent first = this.harness.sent.get(0);
 		this.harness.join(DispatchHarness.PLAIN, "b");
-		this.harness.startAgain(former);
+		this.harness.restart(former);
 		assertThat(this.harness.assertReady(first)).isFalse();
-		assertThat(this.harness.arrive().target().id()).isEqualTo("b");
+		assertThat(this.harness.sendLast().target().id()).isEqualTo("b");
 	}
 
 	@Test
 	void streamOfFormerIncarnationResumesAtLiveCopy() {
 		Sent first = streamWithLiveCopy();
-		this.harness.startAgain(first.target());
-		Sent second = this.harness.arrive();
+		this.harness.restart(first.target());
+		Sent second = this.harness.sendLast();
 		assertThat(second.target().address()).isEqualTo(first.order().liveCopy().get());
 		assertThat(second.order().resume().isPresent()).isTrue();
 		assertThat(this.harness.copies).isEmpty();
@@ -105,12 +105,12 @@
 	@Test
 	void streamOfDrainingFormerIncarnationResumesAtPartialCopy() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.now += 300;
 		this.harness.copied(Outcome.COPIED, "h1");
-		this.harness.startAgain(first.target());
-		Sent second = this.harness.arrive();
+		this.harness.restart(first.target());
+		Sent second = this.harness.sendLast();
 		assertThat(second.target().id()).isNotEqualTo(first.target().id());
 		assertThat(second.order().resume().map(ResumePoint::handle)).isEqualTo(Optional.of("h1"));
 	}
@@ -119,9 +119,9 @@
 	void streamWithoutCopyIsCutWhenItsTargetRestarts() {
 		ListedTarget former = this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
-		this.harness.startAgain(former);
+		this.harness.restart(former);
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
@@ -130,10 +130,10 @@
 	void liveCopyIsLostWhenItsTargetRestarts() {
 		Sent first = streamWithLiveCopy();
 		ListedTarget holder = other(first);
-		ListedTarget started = this.harness.startAgain(holder);
+		ListedTarget started = this.harness.restart(holder);
 		assertThat(this.harness.estimates.of(started).reservedTokens()).isEqualTo(0);
 		assertThat(this.harness.event(first, 1)).isTrue();
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
@@ -141,9 +141,9 @@
 	@Test
 	void streamStaysAtSourceWhenTheTargetOfItsCopyRestarts() {
 		Sent first = streamWithLiveCopy();
-		this.harness.leave(first.target());
-		Sent second = this.harness.arrive();
-		this.harness.startAgain(second.target());
+		this.harness.drain(first.target());
+		Sent second = this.harness.sendLast();
+		this.harness.restart(second.target());
 		assertThat(this.harness.abandoned).containsExactly("1/" + second.attempt());
 		assertThat(this.harness.event(first, 1)).isTrue();
 	}
@@ -151,11 +151,11 @@
 	@Test
 	void moveChoosesAnotherDestinationWhenItsDestinationRestarts() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		CopyOrder order = this.harness.copies.get(0);
 		this.harness.join(DispatchHarness.ENGINES, "z");
-		this.harness.startAgain(order.destination());
+		this.harness.restart(order.destination());
 		this.harness.copied(Outcome.COPIED, "h1");
 		CopyOrder next = this.harness.copies.get(this.harness.copies.size() - 1);
 		assertThat(next.destination().isSameIncarnation(order.destination())).isFalse();
@@ -165,7 +165,7 @@
 	@Test
 	void stoppedStreamDoesNotReturnToNewIncarnationOfItsSource() {
 		Sent second = stoppedAndResumed();
-		this.harness.startAgain(this.harness.sent.get(0).target());
+		this.harness.restart(this.harness.sent.get(0).target());
 		this.harness.answer(second, 503, true);
 		assertThat(this.harness.sent).hasSize(2);
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
@@ -174,36 +174,36 @@
 	@Test
 	void stoppedStreamDoesNotResumeAtRestartedSource() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.COPIED, "h1");
 		assertThat(this.harness.copies.get(1).stopFirst()).isTrue();
-		this.harness.startAgain(first.target());
+		this.harness.restart(first.target());
 		this.harness.copied(Outcome.NO_SUCH_RUN, "");
-		Sent second = this.harness.arrive();
+		Sent second = this.harness.sendLast();
 		assertThat(second.target().id()).isNotEqualTo(first.target().id());
 	}
 
 	@Test
 	void stoppedStreamReturnsToSourceWhenItsDestinationRestarts() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.COPIED, "h1");
-		this.harness.startAgain(this.harness.copies.get(1).destination());
-		this.harness.breakOff(first);
+		this.harness.restart(this.harness.copies.get(1).destination());
+		this.harness.breakConnection(first);
 		this.harness.copied(Outcome.COPIED, "h1");
-		assertThat(this.harness.arrive().target().isSameIncarnation(first.target())).isTrue();
+		assertThat(this.harness.sendLast().target().isSameIncarnation(first.target())).isTrue();
 	}
 
 	@Test
 	void stoppedStreamIsCutWhenBothEnginesRestart() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.COPIED, "h1");
-		this.harness.startAgain(this.harness.copies.get(1).destination());
-		this.harness.startAgain(first.target());
+		this.harness.restart(this.harness.copies.get(1).destination());
+		this.harness.restart(first.target());
 		this.harness.copied(Outcome.COPIED, "h1");
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
@@ -211,19 +211,19 @@
 
 	private Sent stoppedAndResumed() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.COPIED, "h1");
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		this.harness.copied(Outcome.COPIED, "h1");
-		return this.harness.arrive();
+		return this.harness.sendLast();
 	}
 
 	private Sent streamWithLiveCopy() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		assertThat(first.order().liveCopy().isPresent()).isTrue();
 		this.harness.event(first, 0);
 		return first;
@@ -233,7 +233,7 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1, TOKENS_TOO_LARGE_FOR_COPY);
 		this.harness.join(DispatchHarness.ENGINES, "b");
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		assertThat(first.order().liveCopy().isPresent()).isFalse();
 		this.harness.event(first, 0);
 		return first;
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/StreamMovingTests.java
@@ -31,7 +31,7 @@
 	void deliversEachEventOnceInOrder() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1);
-		Sent sent = this.harness.arrive();
+		Sent sent = this.harness.sendLast();
 		assertThat(this.harness.event(sent, 0)).isTrue();
 		assertThat(this.harness.event(sent, 1)).isTrue();
 		assertThat(this.harness.event(sent, 1)).isFalse();
@@ -43,7 +43,7 @@
 	void missingEventCutsTheStream() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1);
-		Sent sent = this.harness.arrive();
+		Sent sent = this.harness.sendLast();
 		this.harness.event(sent, 0);
 		assertThat(this.harness.event(sent, 2)).isFalse();
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
@@ -54,9 +54,9 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1);
 		this.harness.join(DispatchHarness.ENGINES, "b");
-		Sent sent = this.harness.arrive();
+		Sent sent = this.harness.sendLast();
 		this.harness.event(sent, 0);
-		this.harness.breakOff(sent);
+		this.harness.breakConnection(sent);
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
@@ -66,13 +66,13 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		ListedTarget source = first.target();
 		assertThat(first.order().liveCopy().isPresent()).isTrue();
 		this.harness.event(first, 0);
 		this.harness.event(first, 1);
-		this.harness.leave(source);
-		Sent second = this.harness.arrive();
+		this.harness.drain(source);
+		Sent second = this.harness.sendLast();
 		assertThat(second.target().address()).isEqualTo(first.order().liveCopy().get());
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(second.target().address(), DispatchHarness.id(1), "1")));
@@ -87,8 +87,8 @@
 	@Test
 	void silentCopyIsAbandonedWhileFirstAttemptSendsEvents() {
 		Sent first = streamWithLiveCopy();
-		this.harness.leave(first.target());
-		Sent second = this.harness.arrive();
+		this.harness.drain(first.target());
+		Sent second = this.harness.sendLast();
 		this.harness.passTime(250);
 		this.harness.event(first, 2);
 		this.harness.passTime(60);
@@ -101,8 +101,8 @@
 	@Test
 	void silentFirstAttemptIsAbandonedAfterTimeout() {
 		Sent first = streamWithLiveCopy();
-		this.harness.leave(first.target());
-		Sent second = this.harness.arrive();
+		this.harness.drain(first.target());
+		Sent second = this.harness.sendLast();
 		this.harness.passTime(310);
 		assertThat(this.harness.abandoned).containsExactly("1/" + first.attempt());
 		assertThat(this.harness.event(second, 2)).isTrue();
@@ -113,7 +113,7 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
 		this.harness.event(first, 1);
 		return first;
@@ -124,12 +124,12 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
-		this.harness.leave(first.target());
-		Sent second = this.harness.arrive();
+		this.harness.drain(first.target());
+		Sent second = this.harness.sendLast();
 		this.harness.join(DispatchHarness.ENGINES, "c");
-		this.harness.leave(second.target());
+		this.harness.drain(second.target());
 		this.harness.event(first, 1);
 		assertThat(this.harness.event(second, 1)).isFalse();
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
@@ -143,12 +143,12 @@
 		ListedTarget a = this.harness.join(DispatchHarness.ENGINES, "a");
 		ListedTarget b = this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
 		this.harness.join(DispatchHarness.ENGINES, "c");
 		ListedTarget copy = first.target().equals(a) ? b : a;
 		this.harness.directory.batch(() -> {
-			this.harness.leave(first.target());
+			this.harness.drain(first.target());
 			this.harness.directory.remove(copy.id(), this.harness.now);
 		});
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
@@ -162,16 +162,16 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
-		this.harness.leave(first.target());
+		Sent first = this.harness.sendLast();
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies).isEmpty();
 		this.harness.event(first, 0);
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies).hasSize(1);
 		assertThat(this.harness.sent).hasSize(1);
-		this.harness.breakOff(first);
-		Sent second = this.harness.arrive();
+		this.harness.breakConnection(first);
+		Sent second = this.harness.sendLast();
 		assertThat(second.target().address()).isEqualTo(first.order().liveCopy().get());
 	}
 
@@ -179,9 +179,9 @@
 	void generationStartedLateIsStoppedWithinReclaimNotice() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1, TOKENS_TOO_LARGE_FOR_COPY);
-		Sent late = this.harness.arrive();
+		Sent late = this.harness.sendLast();
 		this.harness.join(DispatchHarness.ENGINES, "b");
-		this.harness.leave(late.target());
+		this.harness.drain(late.target());
 		this.harness.passTime(1_300);
 		this.harness.event(late, 0);
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
@@ -194,13 +194,13 @@
 	void standbyCopyWaitsForMovesAndForCopiesOnItsLinks() {
 		streamWithoutLiveCopy();
 		ListedTarget other = this.harness.join(DispatchHarness.ENGINES, "c");
-		this.harness.leave(other);
+		this.harness.drain(other);
 		this.harness.passTime(1_500);
 		assertThat(this.harness.copies).isEmpty();
-		this.harness.ourTurn = false;
+		this.harness.mayCopy = false;
 		this.harness.passTime(1_000);
 		assertThat(this.harness.copies).isEmpty();
-		this.harness.ourTurn = true;
+		this.harness.mayCopy = true;
 		this.harness.passTime(100);
 		assertThat(this.harness.copies).hasSize(1);
 	}
@@ -208,14 +208,14 @@
 	@Test
 	void resumesAtPartialCopyWhenEngineCrashesBeforeFinalCopy() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		ListedTarget destination = this.harness.copies.get(0).destination();
 		this.harness.copied(Outcome.COPIED, "h1");
 		assertThat(this.harness.copies.get(1).stopFirst()).isTrue();
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		this.harness.copied(Outcome.NO_ANSWER, "");
-		Sent second = this.harness.arrive();
+		Sent second = this.harness.sendLast();
 		assertThat(second.target()).isEqualTo(destination);
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(first.target().address(), "h1", "0")));
@@ -224,7 +224,7 @@
 	@Test
 	void repeatedCopyOrderKeepsDestinationOfPartialCopy() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		ListedTarget destination = this.harness.copies.get(0).destination();
 		this.harness.now += 300;
@@ -240,13 +240,13 @@
 	@Test
 	void resumesAtPartialCopyWhenEngineCrashesBeforeNextOrder() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		ListedTarget destination = this.harness.copies.get(0).destination();
 		this.harness.copied(Outcome.COPIED, "h1");
 		this.harness.copied(Outcome.NO_ANSWER, "");
-		this.harness.breakOff(first);
-		Sent second = this.harness.arrive();
+		this.harness.breakConnection(first);
+		Sent second = this.harness.sendLast();
 		assertThat(second.target()).isEqualTo(destination);
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(first.target().address(), "h1", "0")));
@@ -259,7 +259,7 @@
 		ListedTarget busy = this.harness.directory.find("b").get();
 		this.harness.estimates.update(free, (b) -> b.addReservedTokens(5_000));
 		this.harness.estimates.of(busy).addCopies(1);
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies.get(0).destination()).isEqualTo(free);
 	}
@@ -267,7 +267,7 @@
 	@Test
 	void unansweredCopyOrderDoesNotPenalizeDestination() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		ListedTarget destination = this.harness.copies.get(0).destination();
 		this.harness.copied(Outcome.NO_ANSWER, "");
@@ -279,10 +279,10 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
-		this.harness.breakOff(first);
-		Sent second = this.harness.arrive();
+		this.harness.breakConnection(first);
+		Sent second = this.harness.sendLast();
 		assertThat(second.order().resume().isPresent()).isTrue();
 		assertThat(this.harness.event(second, 1)).isTrue();
 		this.harness.dispatcher.streamEnded(1, second.attempt(), this.harness.now);
@@ -294,10 +294,10 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.event(first, 0);
-		this.harness.leave(first.target());
-		this.harness.answer(this.harness.arrive(), 503, true);
+		this.harness.drain(first.target());
+		this.harness.answer(this.harness.sendLast(), 503, true);
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies).hasSize(1);
 		assertThat(this.harness.copies.get(0).stopFirst()).isFalse();
@@ -307,7 +307,7 @@
 	@Test
 	void copiesWhileRunningAndStopsAfterAFastCopy() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies).hasSize(1);
 		this.harness.now += 400;
@@ -317,11 +317,11 @@
 		this.harness.copied(Outcome.COPIED, "h1");
 		assertThat(this.harness.copies.get(2).stopFirst()).isTrue();
 		assertThat(this.harness.event(first, 1)).isTrue();
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		assertThat(this.harness.answers(1)).containsExactly("started");
 		this.harness.now += 10;
 		this.harness.copied(Outcome.COPIED, "h1");
-		Sent second = this.harness.arrive();
+		Sent second = this.harness.sendLast();
 		assertThat(second.target().id()).isEqualTo(this.harness.copies.get(2).destination().id());
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(first.target().address(), "h1", "1")));
@@ -331,14 +331,14 @@
 	@Test
 	void stoppedGenerationWhoseCopyIsRejectedResumesAtSourceAndIsCopiedAgain() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.COPIED, "h1");
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		this.harness.copied(Outcome.COPIED, "h1");
-		Sent second = this.harness.arrive();
+		Sent second = this.harness.sendLast();
 		this.harness.answer(second, 503, true);
-		Sent third = this.harness.arrive();
+		Sent third = this.harness.sendLast();
 		assertThat(third.target()).isEqualTo(first.target());
 		assertThat(third.order().resume()).isEqualTo(second.order().resume());
 		int copiesBefore = this.harness.copies.size();
@@ -350,20 +350,20 @@
 	@Test
 	void stoppedGenerationRejectedByBothEnginesIsCut() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.COPIED, "h1");
-		this.harness.breakOff(first);
+		this.harness.breakConnection(first);
 		this.harness.copied(Outcome.COPIED, "h1");
-		this.harness.answer(this.harness.arrive(), 503, true);
-		this.harness.answer(this.harness.arrive(), 503, true);
+		this.harness.answer(this.harness.sendLast(), 503, true);
+		this.harness.answer(this.harness.sendLast(), 503, true);
 		assertThat(this.harness.answers(1)).containsExactly("started", "cut").inOrder();
 	}
 
 	@Test
 	void waitForLastEventsOfStoppedGenerationTimesOut() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.COPIED, "h1");
 		this.harness.copied(Outcome.COPIED, "h1");
@@ -379,7 +379,7 @@
 	void copiesToAnotherEngineWhenDestinationHasNoMemory() {
 		Sent first = streamWithoutLiveCopy();
 		this.harness.join(DispatchHarness.ENGINES, "c");
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		String tried = this.harness.copies.get(0).destination().id();
 		this.harness.copied(Outcome.NO_ROOM, "");
@@ -391,7 +391,7 @@
 	void copiesToAnotherEngineWhenCopyFails() {
 		Sent first = streamWithoutLiveCopy();
 		this.harness.join(DispatchHarness.ENGINES, "c");
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		String tried = this.harness.copies.get(0).destination().id();
 		this.harness.copied(Outcome.FAILED, "");
@@ -402,7 +402,7 @@
 	@Test
 	void generationNotStartedYetIsCopiedOnceStarted() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.copied(Outcome.NO_SUCH_RUN, "");
 		this.harness.passTime(60);
@@ -414,10 +414,10 @@
 		ListedTarget source = this.harness.join(DispatchHarness.ENGINES, "a");
 		for (long call = 1; call <= 3; call++) {
 			this.harness.openStream(call);
-			this.harness.event(this.harness.arrive(), 0);
+			this.harness.event(this.harness.sendLast(), 0);
 		}
 		this.harness.join(DispatchHarness.ENGINES, "b");
-		this.harness.leave(source);
+		this.harness.drain(source);
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.dispatcher.callerDisconnected(3, this.harness.now);
 		assertThat(this.harness.copies).hasSize(1);
@@ -433,11 +433,11 @@
 	@Test
 	void waitsForItsTurn() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.ourTurn = false;
-		this.harness.leave(first.target());
+		this.harness.mayCopy = false;
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		assertThat(this.harness.copies).isEmpty();
-		this.harness.ourTurn = true;
+		this.harness.mayCopy = true;
 		this.harness.passTime(10);
 		assertThat(this.harness.copies).hasSize(1);
 	}
@@ -469,7 +469,7 @@
 	void createsNoStandbyCopyWhenFleetIsMoreThanHalfFull() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1, 9_000);
-		Sent sent = this.harness.arrive();
+		Sent sent = this.harness.sendLast();
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		reserveMemory(0.45);
 		this.harness.event(sent, 0);
@@ -480,7 +480,7 @@
 	// Reserves a share of the memory of both engines for other entries.
 	private void reserveMemory(double share) {
 		for (String id : List.of("a", "b")) {
-			this.harness.others.put(id,
+			this.harness.workOfOthers.put(id,
 					new WorkAtTarget(TargetIncarnation.of(id), 1, (long) (share * 34_000), 0, 0, false, 0, false));
 		}
 	}
@@ -488,8 +488,8 @@
 	@Test
 	void smallCopyNeedsNoTurn() {
 		Sent first = streamWithStandbyCopy();
-		this.harness.ourTurn = false;
-		this.harness.leave(first.target());
+		this.harness.mayCopy = false;
+		this.harness.drain(first.target());
 		assertThat(this.harness.copies).hasSize(2);
 		assertThat(this.harness.copies.get(1).destination().id())
 			.isEqualTo(this.harness.copies.get(0).destination().id());
@@ -515,7 +515,7 @@
 	private Sent streamWithStandbyCopyUnderWay() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1, 9_000);
-		Sent sent = this.harness.arrive();
+		Sent sent = this.harness.sendLast();
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.event(sent, 0);
 		this.harness.passTime(800);
@@ -528,8 +528,8 @@
 	void lostGenerationResumesAtStandbyCopy() {
 		Sent first = streamWithStandbyCopy();
 		this.harness.event(first, 1);
-		this.harness.breakOff(first);
-		Sent second = this.harness.arrive();
+		this.harness.breakConnection(first);
+		Sent second = this.harness.sendLast();
 		assertThat(second.order().resume())
 			.isEqualTo(Optional.of(new ResumePoint(first.target().address(), "s1", "1")));
 		assertThat(this.harness.event(second, 2)).isTrue();
@@ -538,10 +538,10 @@
 	@Test
 	void lostGenerationResumesAtPartialCopyOfItsMove() {
 		Sent first = streamWithStandbyCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.event(first, 1);
-		this.harness.breakOff(first);
-		Sent second = this.harness.arrive();
+		this.harness.breakConnection(first);
+		Sent second = this.harness.sendLast();
 		assertThat(second.order().resume().get().handle()).isEqualTo("s1");
 	}
 
@@ -554,7 +554,7 @@
 	@Test
 	void releasesCopyThatIsNoLongerNeeded() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(400);
 		this.harness.copied(Outcome.COPIED, "h1");
 		this.harness.dispatcher.streamEnded(1, first.attempt(), this.harness.now);
@@ -565,7 +565,7 @@
 	@Test
 	void endedCallHoldsNoReservation() {
 		Sent first = streamWithoutLiveCopy();
-		this.harness.leave(first.target());
+		this.harness.drain(first.target());
 		this.harness.passTime(AFTER_SMALL_COPIES_MILLIS);
 		this.harness.dispatcher.callerDisconnected(1, this.harness.now);
 		this.harness.copied(Outcome.COPIED, "h1");
@@ -577,7 +577,7 @@
 	private Sent streamWithoutLiveCopy() {
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.openStream(1, TOKENS_TOO_LARGE_FOR_COPY);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		assertThat(first.order().liveCopy()).isEqualTo(Optional.empty());
 		this.harness.event(first, 0);
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/TargetBackpressureTests.java
@@ -50,7 +50,7 @@
 		respondWith(rateLimit(1));
 		ListedTarget bad = this.harness.join(DispatchHarness.PLAIN, "bad");
 		this.harness.open(++this.calls, RequestKind.SAFE, 2);
-		Sent first = this.harness.arrive();
+		Sent first = this.harness.sendLast();
 		assertThat(first.target()).isEqualTo(bad);
 		this.harness.answer(first, 500, false);
 		assertThat(this.harness.sent.stream().filter((s) -> s.target().equals(limited))).hasSize(1);
@@ -62,7 +62,7 @@
 		Sent run = streamWithLiveCopy();
 		ListedTarget backup = liveCopyOf(run);
 		this.harness.backpressure.recordResponse(backup, rateLimit(0.2), 0, 0);
-		this.harness.leave(run.target());
+		this.harness.drain(run.target());
 		assertThat(this.harness.sent.stream().filter((s) -> s.target().equals(backup))).isEmpty();
 	}
 
@@ -72,13 +72,13 @@
 		this.harness.join(DispatchHarness.PLAIN, "other");
 		while (this.harness.sent.stream().noneMatch((s) -> s.target().equals(target))) {
 			this.harness.open(++this.calls, RequestKind.SAFE, 2);
-			this.harness.arrive();
+			this.harness.sendLast();
 		}
 		Sent sent = this.harness.sent.get(this.harness.sent.size() - 1);
 		receiveHead(sent, 421, "");
 		receiveHead(sent, 200, "request-999");
 		assertThat(this.harness.backpressure.limitCount()).isEqualTo(0);
-		this.harness.end(target);
+		this.harness.remove(target);
 		receiveHead(sent, 200, DispatchHarness.id(sent.call()));
 		assertThat(this.harness.backpressure.limitCount()).isEqualTo(0);
 	}
@@ -98,7 +98,7 @@
 	void restartedTargetHasNoSignals() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		respondWith(rateLimit(0));
-		ListedTarget again = this.harness.startAgain(target);
+		ListedTarget again = this.harness.restart(target);
 		assertThat(this.harness.eligibility.acceptsWork(again, this.harness.now)).isTrue();
 		assertThat(this.harness.backpressure.limitCount()).isEqualTo(0);
 	}
@@ -107,14 +107,14 @@
 	void targetThatAnnouncedDrainingReceivesNoNewWorkRegardlessOfTheList() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		respondWith(DRAINING_SIGNAL);
-		assertThat(this.harness.needsToTell).containsExactly(target.incarnation());
+		assertThat(this.harness.announcedSignals).containsExactly(target.incarnation());
 		assertRefusedAtOnce();
 		this.harness.directory.put(target);
 		assertRefusedAtOnce();
-		this.harness.end(target);
+		this.harness.remove(target);
 		this.harness.directory.put(target);
 		assertRefusedAtOnce();
-		assertThat(this.harness.eligibility.acceptsWork(this.harness.startAgain(target), this.harness.now)).isTrue();
+		assertThat(this.harness.eligibility.acceptsWork(this.harness.restart(target), this.harness.now)).isTrue();
 	}
 
 	@Test
@@ -125,7 +125,7 @@
 		this.harness.join(DispatchHarness.PLAIN, "other");
 		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 0, 0);
 		assertThat(this.harness.assertReady(chosen)).isFalse();
-		assertThat(this.harness.arrive().target().id()).isEqualTo("other");
+		assertThat(this.harness.sendLast().target().id()).isEqualTo("other");
 	}
 
 	@Test
@@ -136,7 +136,7 @@
 		this.harness.passTime(1_000);
 		assertThat(this.harness.sent).hasSize(1);
 		this.harness.backpressure.recordResponse(backup, DRAINING_SIGNAL, 0, 0);
-		this.harness.leave(run.target());
+		this.harness.drain(run.target());
 		assertThat(this.harness.sent).hasSize(1);
 	}
 
@@ -158,7 +158,7 @@
 		this.harness.backpressure.recordResponse(target, rateLimit(4), 2, 2);
 		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 3, 3);
 		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 4, 4);
-		assertThat(this.harness.needsToTell).hasSize(4);
+		assertThat(this.harness.announcedSignals).hasSize(4);
 		assertThat(this.harness.backpressure.signals(60_004).draining()).containsExactly(target.incarnation());
 		assertThat(this.harness.backpressure.signals(60_005).draining()).isEmpty();
 	}
@@ -167,9 +167,9 @@
 	void requestAtTargetThatAnnouncedDrainingIsNotSuspected() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
-		Sent sent = this.harness.arrive();
+		Sent sent = this.harness.sendLast();
 		this.harness.backpressure.recordResponse(target, DRAINING_SIGNAL, 0, 0);
-		this.harness.breakOff(sent);
+		this.harness.breakConnection(sent);
 		this.harness.dispatcher.probed(target, true, this.harness.now);
 		assertThat(this.harness.suspected).isEmpty();
 	}
@@ -187,14 +187,14 @@
 		assertRefusedAtOnce();
 		this.harness.passTime(1);
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
-		assertThat(this.harness.arrive().target()).isEqualTo(target);
+		assertThat(this.harness.sendLast().target()).isEqualTo(target);
 	}
 
 	@Test
 	void backoffPersistsWhenTargetIsBrieflyDelisted() {
 		ListedTarget target = this.harness.join(DispatchHarness.PLAIN, "target");
 		sendAndRespond(backoff(3_000), true);
-		this.harness.end(target);
+		this.harness.remove(target);
 		this.harness.directory.put(target);
 		assertRefusedAtOnce();
 		assertThat(this.harness.sent).hasSize(1);
@@ -218,7 +218,7 @@
 		this.harness.join(DispatchHarness.PLAIN, "other");
 		this.harness.backpressure.recordResponse(target, backoff(3_000), 0, 0);
 		assertThat(this.harness.assertReady(chosen)).isFalse();
-		assertThat(this.harness.arrive().target().id()).isEqualTo("other");
+		assertThat(this.harness.sendLast().target().id()).isEqualTo("other");
 	}
 
 	@Test
@@ -246,7 +246,7 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(++this.calls);
-		Sent run = this.harness.arrive();
+		Sent run = this.harness.sendLast();
 		this.harness.event(run, 0);
 		return run;
 	}
@@ -282,7 +282,7 @@
 
 	private Sent sendAndRespond(BackpressureSignals signals, boolean isRejected) {
 		this.harness.open(++this.calls, RequestKind.UNSAFE, 1);
-		Sent sent = this.harness.arrive();
+		Sent sent = this.harness.sendLast();
 		this.harness.answer(sent, isRejected ? 503 : 200, isRejected, signals);
 		return sent;
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/UnreachableDetectorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/UnreachableDetectorTests.java
@@ -64,7 +64,7 @@
 	@Test
 	void targetThatRefusedTwoEntriesReceivesNoWork() {
 		ListedTarget dead = this.harness.join(DispatchHarness.PLAIN, "a");
-		this.harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 0, 0, 0, 0, false, 1, false));
+		this.harness.workOfOthers.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 0, 0, 0, 0, false, 1, false));
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		Sent sent = this.harness.sent.get(0);
 		this.harness.join(DispatchHarness.PLAIN, "b");
@@ -82,12 +82,12 @@
 		this.harness.join(DispatchHarness.ENGINES, "a");
 		this.harness.join(DispatchHarness.ENGINES, "b");
 		this.harness.openStream(1);
-		Sent run = this.harness.arrive();
+		Sent run = this.harness.sendLast();
 		this.harness.event(run, 0);
 		String backup = run.target().id().equals("a") ? "b" : "a";
 		assertThat(run.order().liveCopy()).isNotEqualTo(Optional.empty());
-		this.harness.others.put(backup, new WorkAtTarget(TargetIncarnation.of(backup), 0, 0, 0, 0, false, 2, false));
-		this.harness.breakOff(run);
+		this.harness.workOfOthers.put(backup, new WorkAtTarget(TargetIncarnation.of(backup), 0, 0, 0, 0, false, 2, false));
+		this.harness.breakConnection(run);
 		assertThat(this.harness.sent).hasSize(1);
 		assertThat(this.harness.answers(1)).contains("cut");
 	}
@@ -95,7 +95,7 @@
 	@Test
 	void unreachableTargetIsTriedWhenThereIsNoOther() {
 		this.harness.join(DispatchHarness.PLAIN, "a");
-		this.harness.others.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 0, 0, 0, 0, false, 2, false));
+		this.harness.workOfOthers.put("a", new WorkAtTarget(TargetIncarnation.of("a"), 0, 0, 0, 0, false, 2, false));
 		this.harness.open(1, RequestKind.UNSAFE, 1);
 		assertThat(this.harness.sent).hasSize(1);
 	}
