--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCluster.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCluster.java
@@ -13,8 +13,8 @@
 import dev.laneworks.core.call.CallRequest;
 import dev.laneworks.core.configuration.Intent;
 import dev.laneworks.core.configuration.SpillRule;
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.Work;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.stream.StreamPosition;
@@ -159,10 +159,10 @@
 		});
 	}
 
-	void revokeKeyAtHome(FakeSidecar from, String home, OnceKey key, Consumer<BarOutcome> answer) {
+	void revokeKeyAtHome(FakeSidecar from, String home, OnceKey key, Consumer<RevocationOutcome> answer) {
 		FakeSidecar to = this.sidecars[targetIndex(home)];
 		this.time.schedule(QUERY_DELAY_MILLIS, () -> to.run(() -> {
-			BarOutcome outcome = to.revokeKey(key);
+			RevocationOutcome outcome = to.revokeKey(key);
 			this.time.schedule(QUERY_DELAY_MILLIS, () -> answer.accept(outcome));
 		}));
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -12,10 +12,10 @@
 import dev.laneworks.core.host.GenerationHost;
 import dev.laneworks.core.host.HostOutputs;
 import dev.laneworks.core.host.HostSettings;
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.ConfigurationMessage;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.Work;
 import dev.laneworks.core.once.KeyGuard;
@@ -132,7 +132,7 @@
 		this.exchange.onMessage("entry", message, (m) -> send(link, m), this.time.now());
 	}
 
-	BarOutcome revokeKey(OnceKey key) {
+	RevocationOutcome revokeKey(OnceKey key) {
 		KeyRevocation revocation = new KeyRevocation();
 		this.keyRevocation = revocation;
 		this.host.onMessage(KeyRevocation.LINK, new EntryMessage.BarKey(key), this.time.now());
@@ -241,7 +241,7 @@
 
 		private static final long LINK = -1;
 
-		private BarOutcome outcome = BarOutcome.UNKNOWN;
+		private RevocationOutcome outcome = RevocationOutcome.UNKNOWN;
 
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
@@ -1,7 +1,7 @@
 package dev.laneworks.core.call;
 
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.EntryMessage;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.retry.RetryBudget;
 import dev.laneworks.core.stream.StreamPosition;
@@ -133,7 +133,7 @@
 		this.retryHandler.handleFailedAttempt(call, refusal, now);
 	}
 
-	private void handleRevokeResult(Call call, BarOutcome outcome, long now) {
+	private void handleRevokeResult(Call call, RevocationOutcome outcome, long now) {
 		if (call.phase() != CallPhase.REVOKING) {
 			this.context.counters().strays().increment();
 			return;
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -6,11 +6,11 @@
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
 import dev.laneworks.core.configuration.ConfigurationHolder;
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.LoadReport;
 import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.once.KeyGuard;
 import dev.laneworks.core.verdict.RefusalReason;
@@ -109,7 +109,7 @@
 			this.context.outputs().send(link, new SidecarMessage.Load(load()));
 		}
 		else if (message instanceof EntryMessage.BarKey barKey) {
-			BarOutcome outcome = this.revoker.revokeKey(barKey.key(), now);
+			RevocationOutcome outcome = this.revoker.revokeKey(barKey.key(), now);
 			this.context.outputs().send(link, new SidecarMessage.KeyBarResult(barKey.key(), outcome));
 		}
 	}
@@ -178,7 +178,7 @@
 	 * @param outcome whether the key was revoked or has run there
 	 * @param now the current time in milliseconds
 	 */
-	public void onHomeAnswer(String home, OnceKey key, BarOutcome outcome, long now) {
+	public void onHomeAnswer(String home, OnceKey key, RevocationOutcome outcome, long now) {
 		this.context.registry()
 			.findAsking(key.generationName())
 			.ifPresent((g) -> this.keyedRequests.handleHomeAnswer(g, home, outcome, now));
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -1,7 +1,7 @@
 package dev.laneworks.core.host;
 
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.once.KeyDecision;
 import dev.laneworks.core.once.KeyGuard;
 import dev.laneworks.core.verdict.Refusal;
@@ -63,7 +63,7 @@
 
 	// Handle the answer of a former home. The request is queued once all of them have
 	// revoked the key.
-	void handleHomeAnswer(Generation generation, String home, BarOutcome outcome, long now) {
+	void handleHomeAnswer(Generation generation, String home, RevocationOutcome outcome, long now) {
 		switch (outcome) {
 			case BARRED -> {
 				generation.pendingHomes().remove(home);
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
@@ -4,9 +4,9 @@
 
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.configuration.FleetConfiguration;
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.once.KeyGuard;
 import dev.laneworks.core.verdict.RefusalReason;
@@ -32,8 +32,8 @@
 	}
 
 	void revokeAttempt(long link, EntryMessage.Bar bar, long now) {
-		BarOutcome outcome = findAttemptOutcome(link, bar);
-		if (outcome == BarOutcome.BARRED) {
+		RevocationOutcome outcome = findAttemptOutcome(link, bar);
+		if (outcome == RevocationOutcome.BARRED) {
 			this.context.registry().find(bar.generation()).ifPresent((g) -> this.refuser.drop(g, now));
 			this.context.registry().revoke(bar.attemptName(), now);
 		}
@@ -42,45 +42,45 @@
 	}
 
 	// Revoke a key at the request of a later home of the key.
-	BarOutcome revokeKey(OnceKey key, long now) {
+	RevocationOutcome revokeKey(OnceKey key, long now) {
 		String name = key.generationName();
 		Optional<Generation> generation = this.context.registry().find(name);
 		if (generation.filter((g) -> !g.state().isBeforeExecution()).isPresent()
 				|| this.context.registry().isDiscarded(name)) {
-			return BarOutcome.HAS_RUN;
+			return RevocationOutcome.HAS_RUN;
 		}
 		Optional<FleetConfiguration> configuration = this.context.ledger().current();
 		if (generation.isEmpty() && !configuration.filter((c) -> this.keyGuard.remembersWindow(c, now)).isPresent()) {
-			return BarOutcome.UNKNOWN;
+			return RevocationOutcome.UNKNOWN;
 		}
 		generation.ifPresent((g) -> this.refuser.refuseBeforeExecution(g,
 				HostRefusals.retryHere(RefusalReason.WITHDRAWN, "a later home revoked the key"), now));
 		this.context.registry().revoke(name, now);
 		this.context.audit().record(AuditKind.BARRED, name, "revoked at the request of a later home");
-		return BarOutcome.BARRED;
+		return RevocationOutcome.BARRED;
 	}
 
-	private BarOutcome findAttemptOutcome(long link, EntryMessage.Bar bar) {
+	private RevocationOutcome findAttemptOutcome(long link, EntryMessage.Bar bar) {
 		Optional<Generation> existing = this.context.registry().find(bar.generation());
 		if (existing.isPresent()) {
 			return findHeldOutcome(existing.get(), link, bar);
 		}
 		if (this.context.registry().isDiscarded(bar.generation())) {
-			return BarOutcome.HAS_RUN;
+			return RevocationOutcome.HAS_RUN;
 		}
-		return (bar.incarnation() == this.incarnation) ? BarOutcome.BARRED : BarOutcome.UNKNOWN;
+		return (bar.incarnation() == this.incarnation) ? RevocationOutcome.BARRED : RevocationOutcome.UNKNOWN;
 	}
 
-	private BarOutcome findHeldOutcome(Generation generation, long link, EntryMessage.Bar bar) {
+	private RevocationOutcome findHeldOutcome(Generation generation, long link, EntryMessage.Bar bar) {
 		if (!generation.state().isBeforeExecution()) {
-			return BarOutcome.HAS_RUN;
+			return RevocationOutcome.HAS_RUN;
 		}
 		// Another call with the same key may have attached to the generation, which this
 		// attempt must then not drop.
 		boolean ownedByOther = generation.isKeyed() && generation.reader()
 			.filter((r) -> r.link() != link || r.stream().call() != bar.stream().call())
 			.isPresent();
-		return ownedByOther ? BarOutcome.UNKNOWN : BarOutcome.BARRED;
+		return ownedByOther ? RevocationOutcome.UNKNOWN : RevocationOutcome.BARRED;
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/BarOutcome.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/RevocationOutcome.java
@@ -5,7 +5,7 @@
  *
  * @since 0.1
  */
-public enum BarOutcome {
+public enum RevocationOutcome {
 
 	/** The attempt has not run and will not run. */
 	BARRED,
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
@@ -71,7 +71,7 @@
 	 * @param stream the attempt
 	 * @param outcome the result of the revocation
 	 */
-	record BarResult(StreamId stream, BarOutcome outcome) implements OfStream {
+	record BarResult(StreamId stream, RevocationOutcome outcome) implements OfStream {
 
 	}
 
@@ -98,7 +98,7 @@
 	 * @param key the revoked key
 	 * @param outcome the result of the revocation
 	 */
-	record KeyBarResult(OnceKey key, BarOutcome outcome) implements SidecarMessage {
+	record KeyBarResult(OnceKey key, RevocationOutcome outcome) implements SidecarMessage {
 
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -11,9 +11,9 @@
 import dev.laneworks.core.configuration.Intent;
 import dev.laneworks.core.configuration.SpillRule;
 import dev.laneworks.core.configuration.TargetDescription;
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.StreamId;
 import dev.laneworks.core.message.Work;
@@ -142,7 +142,7 @@
 		EntryMessage.Bar bar = (EntryMessage.Bar) this.outputs.lastSent();
 		assertThat(bar.attemptName()).isEqualTo("request-1");
 		assertThat(bar.incarnation()).isEqualTo(11);
-		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, BarOutcome.BARRED), 110);
+		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, RevocationOutcome.BARRED), 110);
 		assertThat(this.outputs.lastTarget()).isEqualTo("t2");
 	}
 
@@ -150,7 +150,7 @@
 	void reattachesWhenTheAttemptRanBeforeItsRevocation() {
 		open(false);
 		this.coordinator.tick(100);
-		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, BarOutcome.HAS_RUN), 110);
+		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, RevocationOutcome.HAS_RUN), 110);
 		assertThat(this.outputs.lastSent()).isInstanceOf(EntryMessage.Attach.class);
 		accept("t1", SECOND);
 		chunk("t1", SECOND, 0);
@@ -163,7 +163,7 @@
 		this.coordinator.onLinkDown("t1", 10);
 		this.coordinator.onLinkUp("t1", 99, 20);
 		assertThat(((EntryMessage.Bar) this.outputs.lastSent()).incarnation()).isEqualTo(11);
-		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, BarOutcome.UNKNOWN), 30);
+		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, RevocationOutcome.UNKNOWN), 30);
 		assertThat(this.outputs.refusal.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -7,10 +7,10 @@
 
 import dev.laneworks.core.admission.LearnedLengthModel;
 import dev.laneworks.core.configuration.ConfigurationHolder;
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.StreamId;
 import dev.laneworks.core.message.Work;
@@ -114,7 +114,7 @@
 	@Test
 	void doesNotRunAnAttemptRevokedBeforeItsArrival() {
 		this.host.onMessage(LINK, new EntryMessage.Bar(new StreamId(1, 1), "r-1", "r-1", INCARNATION), 1);
-		assertThat(this.outputs.barOutcome).isEqualTo(BarOutcome.BARRED);
+		assertThat(this.outputs.revocationOutcome).isEqualTo(RevocationOutcome.BARRED);
 		submit(LINK, 1, "r", 9);
 		assertThat(this.outputs.refused).containsExactly(RefusalReason.WITHDRAWN);
 		assertThat(this.outputs.verdict).isEqualTo(Verdict.NOT_RUN);
@@ -125,9 +125,9 @@
 	void doesNotRevokeRunningAttemptsOrThoseOfOtherIncarnations() {
 		submit(LINK, 1, "r", 9);
 		this.host.onMessage(LINK, new EntryMessage.Bar(new StreamId(1, 1), "r-1", "r-1", INCARNATION), 1);
-		assertThat(this.outputs.barOutcome).isEqualTo(BarOutcome.HAS_RUN);
+		assertThat(this.outputs.revocationOutcome).isEqualTo(RevocationOutcome.HAS_RUN);
 		this.host.onMessage(LINK, new EntryMessage.Bar(new StreamId(2, 1), "q-1", "q-1", 5), 1);
-		assertThat(this.outputs.barOutcome).isEqualTo(BarOutcome.UNKNOWN);
+		assertThat(this.outputs.revocationOutcome).isEqualTo(RevocationOutcome.UNKNOWN);
 	}
 
 	@Test
@@ -230,7 +230,7 @@
 		submitKeyed(1, key, 40_010);
 		assertThat(this.outputs.last()).isEqualTo("ask u");
 		assertThat(this.outputs.starts).isEqualTo(0);
-		this.host.onHomeAnswer("u", key, BarOutcome.BARRED, 40_020);
+		this.host.onHomeAnswer("u", key, RevocationOutcome.BARRED, 40_020);
 		assertThat(this.outputs.starts).isEqualTo(1);
 	}
 
@@ -240,7 +240,7 @@
 		publish(2, 40_000, "t");
 		OnceKey ran = new OnceKey("a", "k", OnceKey.NO_TICKET);
 		submitKeyed(1, ran, 40_010);
-		this.host.onHomeAnswer("u", ran, BarOutcome.HAS_RUN, 40_020);
+		this.host.onHomeAnswer("u", ran, RevocationOutcome.HAS_RUN, 40_020);
 		assertThat(this.outputs.verdict).isEqualTo(Verdict.RAN);
 		submitKeyed(2, new OnceKey("a", "j", OnceKey.NO_TICKET), 40_030);
 		this.host.tick(40_600);
@@ -335,7 +335,7 @@
 
 		private Verdict verdict;
 
-		private BarOutcome barOutcome;
+		private RevocationOutcome revocationOutcome;
 
 		private long lastLink;
 
@@ -362,7 +362,7 @@
 				this.verdict = answer.refusal().verdict();
 			}
 			else if (message instanceof SidecarMessage.BarResult result) {
-				this.barOutcome = result.outcome();
+				this.revocationOutcome = result.outcome();
 			}
 		}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 import com.google.protobuf.UnsafeByteOperations;
-import dev.laneworks.core.message.BarOutcome;
 import dev.laneworks.core.message.ConfigurationMessage;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.LoadReport;
 import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.StreamId;
 import dev.laneworks.core.message.Work;
@@ -215,11 +215,11 @@
 			}
 			case REFUSED -> decodeRefused(frame.getRefused());
 			case BAR_RESULT -> new SidecarMessage.BarResult(decode(frame.getBarResult().getStream()),
-					enumConstant(BarOutcome.values(), frame.getBarResult().getOutcome()));
+					enumConstant(RevocationOutcome.values(), frame.getBarResult().getOutcome()));
 			case LOAD -> new SidecarMessage.Load(decodeLoad(frame.getLoad()));
 			case FAREWELL -> new SidecarMessage.Farewell();
 			case KEY_BAR_RESULT -> new SidecarMessage.KeyBarResult(decode(frame.getKeyBarResult().getKey()),
-					enumConstant(BarOutcome.values(), frame.getKeyBarResult().getOutcome()));
+					enumConstant(RevocationOutcome.values(), frame.getKeyBarResult().getOutcome()));
 			default -> null;
 		};
 		return Optional.ofNullable(message);
