--- a/laneworks-core/src/main/java/dev/laneworks/core/call/AttemptDispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/AttemptDispatcher.java
@@ -83,7 +83,7 @@
 		}
 		this.context.outputs()
 			.send(call.target(),
-					new EntryMessage.Bar(call.stream(), call.attemptName(), call.generation(), call.incarnation()));
+					new EntryMessage.Revoke(call.stream(), call.attemptName(), call.generation(), call.incarnation()));
 	}
 
 	// Requests the rest of the output of the call's generation.
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -92,8 +92,8 @@
 		else if (message instanceof EntryMessage.Attach attach) {
 			this.acceptor.attach(link, attach, now);
 		}
-		else if (message instanceof EntryMessage.Bar bar) {
-			this.revoker.revokeAttempt(link, bar, now);
+		else if (message instanceof EntryMessage.Revoke revoke) {
+			this.revoker.revokeAttempt(link, revoke, now);
 		}
 		else if (message instanceof EntryMessage.Release release) {
 			this.context.delivery()
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
@@ -31,14 +31,14 @@
 		this.refuser = refuser;
 	}
 
-	void revokeAttempt(long link, EntryMessage.Bar bar, long now) {
-		RevocationOutcome outcome = findAttemptOutcome(link, bar);
+	void revokeAttempt(long link, EntryMessage.Revoke revoke, long now) {
+		RevocationOutcome outcome = findAttemptOutcome(link, revoke);
 		if (outcome == RevocationOutcome.BARRED) {
-			this.context.registry().find(bar.generation()).ifPresent((g) -> this.refuser.drop(g, now));
-			this.context.registry().revoke(bar.attemptName(), now);
+			this.context.registry().find(revoke.generation()).ifPresent((g) -> this.refuser.drop(g, now));
+			this.context.registry().revoke(revoke.attemptName(), now);
 		}
-		this.context.audit().record(AuditKind.BARRED, bar.generation(), "outcome " + outcome);
-		this.context.outputs().send(link, new SidecarMessage.BarResult(bar.stream(), outcome));
+		this.context.audit().record(AuditKind.BARRED, revoke.generation(), "outcome " + outcome);
+		this.context.outputs().send(link, new SidecarMessage.BarResult(revoke.stream(), outcome));
 	}
 
 	// Revoke a key at the request of a later home of the key.
@@ -60,25 +60,25 @@
 		return RevocationOutcome.BARRED;
 	}
 
-	private RevocationOutcome findAttemptOutcome(long link, EntryMessage.Bar bar) {
-		Optional<Generation> existing = this.context.registry().find(bar.generation());
+	private RevocationOutcome findAttemptOutcome(long link, EntryMessage.Revoke revoke) {
+		Optional<Generation> existing = this.context.registry().find(revoke.generation());
 		if (existing.isPresent()) {
-			return findHeldOutcome(existing.get(), link, bar);
+			return findHeldOutcome(existing.get(), link, revoke);
 		}
-		if (this.context.registry().isDiscarded(bar.generation())) {
+		if (this.context.registry().isDiscarded(revoke.generation())) {
 			return RevocationOutcome.HAS_RUN;
 		}
-		return (bar.incarnation() == this.incarnation) ? RevocationOutcome.BARRED : RevocationOutcome.UNKNOWN;
+		return (revoke.incarnation() == this.incarnation) ? RevocationOutcome.BARRED : RevocationOutcome.UNKNOWN;
 	}
 
-	private RevocationOutcome findHeldOutcome(Generation generation, long link, EntryMessage.Bar bar) {
+	private RevocationOutcome findHeldOutcome(Generation generation, long link, EntryMessage.Revoke revoke) {
 		if (!generation.state().isBeforeExecution()) {
 			return RevocationOutcome.HAS_RUN;
 		}
 		// Another call with the same key may have attached to the generation, which this
 		// attempt must then not drop.
 		boolean ownedByOther = generation.isKeyed() && generation.reader()
-			.filter((r) -> r.link() != link || r.stream().call() != bar.stream().call())
+			.filter((r) -> r.link() != link || r.stream().call() != revoke.stream().call())
 			.isPresent();
 		return ownedByOther ? RevocationOutcome.UNKNOWN : RevocationOutcome.BARRED;
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
@@ -40,7 +40,7 @@
 	 * @param generation the name that the attempt's generation would have
 	 * @param incarnation the incarnation of the sidecar that the attempt was sent to
 	 */
-	record Bar(StreamId stream, String attemptName, String generation, long incarnation) implements EntryMessage {
+	record Revoke(StreamId stream, String attemptName, String generation, long incarnation) implements EntryMessage {
 
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
@@ -66,7 +66,7 @@
 	}
 
 	/**
-	 * Answers {@link EntryMessage.Bar}.
+	 * Answers {@link EntryMessage.Revoke}.
 	 *
 	 * @param stream the attempt
 	 * @param outcome the result of the revocation
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -139,9 +139,9 @@
 	void revokesAnUnansweredAttemptBeforeTheNext() {
 		open(false);
 		this.coordinator.tick(100);
-		EntryMessage.Bar bar = (EntryMessage.Bar) this.outputs.lastSent();
-		assertThat(bar.attemptName()).isEqualTo("request-1");
-		assertThat(bar.incarnation()).isEqualTo(11);
+		EntryMessage.Revoke revoke = (EntryMessage.Revoke) this.outputs.lastSent();
+		assertThat(revoke.attemptName()).isEqualTo("request-1");
+		assertThat(revoke.incarnation()).isEqualTo(11);
 		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, RevocationOutcome.BARRED), 110);
 		assertThat(this.outputs.lastTarget()).isEqualTo("t2");
 	}
@@ -162,7 +162,7 @@
 		open(false);
 		this.coordinator.onLinkDown("t1", 10);
 		this.coordinator.onLinkUp("t1", 99, 20);
-		assertThat(((EntryMessage.Bar) this.outputs.lastSent()).incarnation()).isEqualTo(11);
+		assertThat(((EntryMessage.Revoke) this.outputs.lastSent()).incarnation()).isEqualTo(11);
 		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, RevocationOutcome.UNKNOWN), 30);
 		assertThat(this.outputs.refusal.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -113,7 +113,7 @@
 
 	@Test
 	void doesNotRunAnAttemptRevokedBeforeItsArrival() {
-		this.host.onMessage(LINK, new EntryMessage.Bar(new StreamId(1, 1), "r-1", "r-1", INCARNATION), 1);
+		this.host.onMessage(LINK, new EntryMessage.Revoke(new StreamId(1, 1), "r-1", "r-1", INCARNATION), 1);
 		assertThat(this.outputs.revocationOutcome).isEqualTo(RevocationOutcome.BARRED);
 		submit(LINK, 1, "r", 9);
 		assertThat(this.outputs.refused).containsExactly(RefusalReason.WITHDRAWN);
@@ -124,9 +124,9 @@
 	@Test
 	void doesNotRevokeRunningAttemptsOrThoseOfOtherIncarnations() {
 		submit(LINK, 1, "r", 9);
-		this.host.onMessage(LINK, new EntryMessage.Bar(new StreamId(1, 1), "r-1", "r-1", INCARNATION), 1);
+		this.host.onMessage(LINK, new EntryMessage.Revoke(new StreamId(1, 1), "r-1", "r-1", INCARNATION), 1);
 		assertThat(this.outputs.revocationOutcome).isEqualTo(RevocationOutcome.HAS_RUN);
-		this.host.onMessage(LINK, new EntryMessage.Bar(new StreamId(2, 1), "q-1", "q-1", 5), 1);
+		this.host.onMessage(LINK, new EntryMessage.Revoke(new StreamId(2, 1), "q-1", "q-1", 5), 1);
 		assertThat(this.outputs.revocationOutcome).isEqualTo(RevocationOutcome.UNKNOWN);
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -88,12 +88,12 @@
 				.setOffset(attach.offset())
 				.setCreditLimit(attach.creditLimit()));
 		}
-		else if (message instanceof EntryMessage.Bar bar) {
+		else if (message instanceof EntryMessage.Revoke revoke) {
 			frame.setBar(Protocol.Bar.newBuilder()
-				.setStream(encode(bar.stream()))
-				.setAttemptName(bar.attemptName())
-				.setGeneration(bar.generation())
-				.setIncarnation(bar.incarnation()));
+				.setStream(encode(revoke.stream()))
+				.setAttemptName(revoke.attemptName())
+				.setGeneration(revoke.generation())
+				.setIncarnation(revoke.incarnation()));
 		}
 		else if (message instanceof EntryMessage.Release release) {
 			frame.setRelease(Protocol.Release.newBuilder()
@@ -130,7 +130,7 @@
 			}
 			case BAR -> {
 				Protocol.Bar bar = frame.getBar();
-				yield new EntryMessage.Bar(decode(bar.getStream()), bar.getAttemptName(), bar.getGeneration(),
+				yield new EntryMessage.Revoke(decode(bar.getStream()), bar.getAttemptName(), bar.getGeneration(),
 						bar.getIncarnation());
 			}
 			case RELEASE ->
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
@@ -116,7 +116,7 @@
 		assertThat(decoded.work().onceKey()).isEqualTo(key);
 		assertThat(decoded.work().patienceMillis()).isEqualTo(1_000);
 		for (EntryMessage message : List.of(new EntryMessage.Attach(new StreamId(call, attempt), "g", call, 5, 6),
-				new EntryMessage.Bar(new StreamId(call, attempt), "n", "g", call),
+				new EntryMessage.Revoke(new StreamId(call, attempt), "n", "g", call),
 				new EntryMessage.Release(new StreamId(call, attempt), hasKey),
 				new EntryMessage.Credit(new StreamId(call, attempt), 99), new EntryMessage.Probe())) {
 			assertThat(FrameCodec.decodeEntryMessage(FrameCodec.encode(message)).orElseThrow()).isEqualTo(message);
