--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -135,7 +135,7 @@
 	RevocationOutcome revokeKey(OnceKey key) {
 		KeyRevocation revocation = new KeyRevocation();
 		this.keyRevocation = revocation;
-		this.host.onMessage(KeyRevocation.LINK, new EntryMessage.BarKey(key), this.time.now());
+		this.host.onMessage(KeyRevocation.LINK, new EntryMessage.RevokeKey(key), this.time.now());
 		this.keyRevocation = null;
 		return revocation.outcome;
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -108,9 +108,9 @@
 		else if (message instanceof EntryMessage.Probe) {
 			this.context.outputs().send(link, new SidecarMessage.Load(load()));
 		}
-		else if (message instanceof EntryMessage.BarKey barKey) {
-			RevocationOutcome outcome = this.revoker.revokeKey(barKey.key(), now);
-			this.context.outputs().send(link, new SidecarMessage.KeyBarResult(barKey.key(), outcome));
+		else if (message instanceof EntryMessage.RevokeKey revokeKey) {
+			RevocationOutcome outcome = this.revoker.revokeKey(revokeKey.key(), now);
+			this.context.outputs().send(link, new SidecarMessage.KeyBarResult(revokeKey.key(), outcome));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
@@ -93,7 +93,7 @@
 	}
 
 	/**
-	 * Answers {@link EntryMessage.BarKey}.
+	 * Answers {@link EntryMessage.RevokeKey}.
 	 *
 	 * @param key the revoked key
 	 * @param outcome the result of the revocation
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
@@ -87,7 +87,7 @@
 	@Override
 	public void askHome(String home, OnceKey key) {
 		if (this.linkedHomes.contains(home)) {
-			this.otherSidecars.send(home, new EntryMessage.BarKey(key));
+			this.otherSidecars.send(home, new EntryMessage.RevokeKey(key));
 			return;
 		}
 		this.unsentKeys.computeIfAbsent(home, (h) -> new HashSet<>()).add(key);
@@ -98,7 +98,7 @@
 		this.linkedHomes.add(home);
 		Set<OnceKey> keys = this.unsentKeys.remove(home);
 		if (keys != null) {
-			keys.forEach((k) -> this.otherSidecars.send(home, new EntryMessage.BarKey(k)));
+			keys.forEach((k) -> this.otherSidecars.send(home, new EntryMessage.RevokeKey(k)));
 		}
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -108,8 +108,8 @@
 		else if (message instanceof EntryMessage.Probe) {
 			frame.setProbe(Protocol.Probe.getDefaultInstance());
 		}
-		else if (message instanceof EntryMessage.BarKey barKey) {
-			frame.setBarKey(Protocol.BarKey.newBuilder().setKey(encode(barKey.key())));
+		else if (message instanceof EntryMessage.RevokeKey revokeKey) {
+			frame.setBarKey(Protocol.BarKey.newBuilder().setKey(encode(revokeKey.key())));
 		}
 		return frame.build();
 	}
@@ -138,7 +138,7 @@
 			case CREDIT -> new EntryMessage.Credit(decode(frame.getCredit().getStream()),
 					requireNonNegative(frame.getCredit().getCreditLimit()));
 			case PROBE -> new EntryMessage.Probe();
-			case BAR_KEY -> new EntryMessage.BarKey(decode(frame.getBarKey().getKey()));
+			case BAR_KEY -> new EntryMessage.RevokeKey(decode(frame.getBarKey().getKey()));
 			default -> null;
 		};
 		return Optional.ofNullable(message);
