--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -98,7 +98,7 @@
 		else if (message instanceof EntryMessage.Release release) {
 			this.context.delivery()
 				.find(link, release.stream())
-				.ifPresent((g) -> this.terminator.release(g, release.mayReturn(), now));
+				.ifPresent((g) -> this.terminator.release(g, release.mayResume(), now));
 		}
 		else if (message instanceof EntryMessage.Credit credit) {
 			this.context.delivery()
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
@@ -48,9 +48,9 @@
 	 * Announces that the attempt's output is no longer read.
 	 *
 	 * @param stream the attempt
-	 * @param mayReturn whether the caller may resume the output later
+	 * @param mayResume whether the caller may resume the output later
 	 */
-	record Release(StreamId stream, boolean mayReturn) implements EntryMessage {
+	record Release(StreamId stream, boolean mayResume) implements EntryMessage {
 
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -98,7 +98,7 @@
 		else if (message instanceof EntryMessage.Release release) {
 			frame.setRelease(Protocol.Release.newBuilder()
 				.setStream(encode(release.stream()))
-				.setMayReturn(release.mayReturn()));
+				.setMayReturn(release.mayResume()));
 		}
 		else if (message instanceof EntryMessage.Credit credit) {
 			frame.setCredit(Protocol.Credit.newBuilder()
