--- a/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
@@ -54,7 +54,7 @@
 		else if (message instanceof SidecarMessage.Refused refused) {
 			handleRefusal(call, refused.refusal(), now);
 		}
-		else if (message instanceof SidecarMessage.BarResult result) {
+		else if (message instanceof SidecarMessage.RevokeResult result) {
 			handleRevokeResult(call, result.outcome(), now);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
@@ -38,7 +38,7 @@
 			this.context.registry().revoke(revoke.attemptName(), now);
 		}
 		this.context.audit().record(AuditKind.BARRED, revoke.generation(), "outcome " + outcome);
-		this.context.outputs().send(link, new SidecarMessage.BarResult(revoke.stream(), outcome));
+		this.context.outputs().send(link, new SidecarMessage.RevokeResult(revoke.stream(), outcome));
 	}
 
 	// Revoke a key at the request of a later home of the key.
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
@@ -71,7 +71,7 @@
 	 * @param stream the attempt
 	 * @param outcome the result of the revocation
 	 */
-	record BarResult(StreamId stream, RevocationOutcome outcome) implements OfStream {
+	record RevokeResult(StreamId stream, RevocationOutcome outcome) implements OfStream {
 
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -142,7 +142,7 @@
 		EntryMessage.Revoke revoke = (EntryMessage.Revoke) this.outputs.lastSent();
 		assertThat(revoke.attemptName()).isEqualTo("request-1");
 		assertThat(revoke.incarnation()).isEqualTo(11);
-		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, RevocationOutcome.BARRED), 110);
+		this.coordinator.onMessage("t1", new SidecarMessage.RevokeResult(FIRST, RevocationOutcome.BARRED), 110);
 		assertThat(this.outputs.lastTarget()).isEqualTo("t2");
 	}
 
@@ -150,7 +150,7 @@
 	void reattachesWhenTheAttemptRanBeforeItsRevocation() {
 		open(false);
 		this.coordinator.tick(100);
-		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, RevocationOutcome.HAS_RUN), 110);
+		this.coordinator.onMessage("t1", new SidecarMessage.RevokeResult(FIRST, RevocationOutcome.HAS_RUN), 110);
 		assertThat(this.outputs.lastSent()).isInstanceOf(EntryMessage.Attach.class);
 		accept("t1", SECOND);
 		chunk("t1", SECOND, 0);
@@ -163,7 +163,7 @@
 		this.coordinator.onLinkDown("t1", 10);
 		this.coordinator.onLinkUp("t1", 99, 20);
 		assertThat(((EntryMessage.Revoke) this.outputs.lastSent()).incarnation()).isEqualTo(11);
-		this.coordinator.onMessage("t1", new SidecarMessage.BarResult(FIRST, RevocationOutcome.UNKNOWN), 30);
+		this.coordinator.onMessage("t1", new SidecarMessage.RevokeResult(FIRST, RevocationOutcome.UNKNOWN), 30);
 		assertThat(this.outputs.refusal.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -361,7 +361,7 @@
 				this.refused.add(answer.refusal().reason());
 				this.verdict = answer.refusal().verdict();
 			}
-			else if (message instanceof SidecarMessage.BarResult result) {
+			else if (message instanceof SidecarMessage.RevokeResult result) {
 				this.revocationOutcome = result.outcome();
 			}
 		}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -172,7 +172,7 @@
 		else if (message instanceof SidecarMessage.Refused refused) {
 			frame.setRefused(encodeRefused(refused));
 		}
-		else if (message instanceof SidecarMessage.BarResult result) {
+		else if (message instanceof SidecarMessage.RevokeResult result) {
 			frame.setBarResult(Protocol.BarResult.newBuilder()
 				.setStream(encode(result.stream()))
 				.setOutcome(result.outcome().ordinal()));
@@ -214,7 +214,7 @@
 						enumConstant(FinishReason.values(), end.getReason()));
 			}
 			case REFUSED -> decodeRefused(frame.getRefused());
-			case BAR_RESULT -> new SidecarMessage.BarResult(decode(frame.getBarResult().getStream()),
+			case BAR_RESULT -> new SidecarMessage.RevokeResult(decode(frame.getBarResult().getStream()),
 					enumConstant(RevocationOutcome.values(), frame.getBarResult().getOutcome()));
 			case LOAD -> new SidecarMessage.Load(decodeLoad(frame.getLoad()));
 			case FAREWELL -> new SidecarMessage.Farewell();
