--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -152,7 +152,7 @@
 
 	@Override
 	public void send(long link, SidecarMessage message) {
-		if (link == KeyRevocation.LINK && message instanceof SidecarMessage.KeyBarResult result) {
+		if (link == KeyRevocation.LINK && message instanceof SidecarMessage.KeyRevokeResult result) {
 			this.keyRevocation.outcome = result.outcome();
 			return;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -110,7 +110,7 @@
 		}
 		else if (message instanceof EntryMessage.RevokeKey revokeKey) {
 			RevocationOutcome outcome = this.revoker.revokeKey(revokeKey.key(), now);
-			this.context.outputs().send(link, new SidecarMessage.KeyBarResult(revokeKey.key(), outcome));
+			this.context.outputs().send(link, new SidecarMessage.KeyRevokeResult(revokeKey.key(), outcome));
 		}
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/FormerHomeListener.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/FormerHomeListener.java
@@ -29,7 +29,7 @@
 	@Override
 	public void onFrame(String target, Link link, Protocol.Frame frame) {
 		FrameCodec.decodeSidecarMessage(frame).ifPresent((m) -> {
-			if (m instanceof SidecarMessage.KeyBarResult barResult) {
+			if (m instanceof SidecarMessage.KeyRevokeResult barResult) {
 				this.duty.accept((s) -> s.host()
 					.onHomeAnswer(target, barResult.key(), barResult.outcome(), MonotonicClock.millis()));
 			}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -183,7 +183,7 @@
 		else if (message instanceof SidecarMessage.Farewell) {
 			frame.setFarewell(Protocol.Farewell.getDefaultInstance());
 		}
-		else if (message instanceof SidecarMessage.KeyBarResult result) {
+		else if (message instanceof SidecarMessage.KeyRevokeResult result) {
 			frame.setKeyBarResult(Protocol.KeyBarResult.newBuilder()
 				.setKey(encode(result.key()))
 				.setOutcome(result.outcome().ordinal()));
@@ -218,7 +218,7 @@
 					enumConstant(RevocationOutcome.values(), frame.getBarResult().getOutcome()));
 			case LOAD -> new SidecarMessage.Load(decodeLoad(frame.getLoad()));
 			case FAREWELL -> new SidecarMessage.Farewell();
-			case KEY_BAR_RESULT -> new SidecarMessage.KeyBarResult(decode(frame.getKeyBarResult().getKey()),
+			case KEY_BAR_RESULT -> new SidecarMessage.KeyRevokeResult(decode(frame.getKeyBarResult().getKey()),
 					enumConstant(RevocationOutcome.values(), frame.getKeyBarResult().getOutcome()));
 			default -> null;
 		};
