--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -107,13 +107,13 @@
 
 	void announceShutdown() {
 		this.host.end();
-		this.links.keySet().forEach((l) -> send(l, new SidecarMessage.Farewell()));
+		this.links.keySet().forEach((l) -> send(l, new SidecarMessage.Shutdown()));
 	}
 
 	void linkUp(FakeLink link) {
 		this.links.put(link.number(), link);
 		if (this.host.isEnded()) {
-			send(link.number(), new SidecarMessage.Farewell());
+			send(link.number(), new SidecarMessage.Shutdown());
 			return;
 		}
 		send(link, this.exchange.notice(this.time.now()));
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -170,7 +170,7 @@
 			this.context.targets().state(target).recordReport(load.report(), now);
 			return;
 		}
-		if (message instanceof SidecarMessage.Farewell) {
+		if (message instanceof SidecarMessage.Shutdown) {
 			handleFarewell(target, now);
 			return;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -227,7 +227,7 @@
 	}
 
 	/**
-	 * Stop handling messages. The caller then sends {@link SidecarMessage.Farewell} on
+	 * Stop handling messages. The caller then sends {@link SidecarMessage.Shutdown} on
 	 * every link.
 	 */
 	public void end() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
@@ -88,7 +88,7 @@
 	 * Announces the shutdown of the sidecar. Messages that it has not answered on this
 	 * link were not read and will not be read.
 	 */
-	record Farewell() implements SidecarMessage {
+	record Shutdown() implements SidecarMessage {
 
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -170,11 +170,11 @@
 	@Test
 	void treatsUnansweredAttemptAsNotRunAfterFarewell() {
 		open(false);
-		this.coordinator.onMessage("t1", new SidecarMessage.Farewell(), 10);
+		this.coordinator.onMessage("t1", new SidecarMessage.Shutdown(), 10);
 		assertThat(this.outputs.lastTarget()).isEqualTo("t2");
 		this.coordinator.tick(200);
 		accept("t2", SECOND);
-		this.coordinator.onMessage("t2", new SidecarMessage.Farewell(), 210);
+		this.coordinator.onMessage("t2", new SidecarMessage.Shutdown(), 210);
 		assertThat(this.outputs.refusal.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
@@ -61,7 +61,7 @@
 	void onLinkUp(Link link) {
 		this.links.put(link.number(), link);
 		if (this.host.isEnded()) {
-			link.send(new SidecarMessage.Farewell());
+			link.send(new SidecarMessage.Shutdown());
 			return;
 		}
 		link.send(this.exchange.notice(MonotonicClock.millis()));
@@ -87,7 +87,7 @@
 
 	void sendFarewell() {
 		this.host.end();
-		this.links.values().forEach((l) -> l.send(new SidecarMessage.Farewell()));
+		this.links.values().forEach((l) -> l.send(new SidecarMessage.Shutdown()));
 	}
 
 	void tick() {
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -180,7 +180,7 @@
 		else if (message instanceof SidecarMessage.Load load) {
 			frame.setLoad(encodeLoad(load.report()));
 		}
-		else if (message instanceof SidecarMessage.Farewell) {
+		else if (message instanceof SidecarMessage.Shutdown) {
 			frame.setFarewell(Protocol.Farewell.getDefaultInstance());
 		}
 		else if (message instanceof SidecarMessage.KeyRevokeResult result) {
@@ -217,7 +217,7 @@
 			case BAR_RESULT -> new SidecarMessage.RevokeResult(decode(frame.getBarResult().getStream()),
 					enumConstant(RevocationOutcome.values(), frame.getBarResult().getOutcome()));
 			case LOAD -> new SidecarMessage.Load(decodeLoad(frame.getLoad()));
-			case FAREWELL -> new SidecarMessage.Farewell();
+			case FAREWELL -> new SidecarMessage.Shutdown();
 			case KEY_BAR_RESULT -> new SidecarMessage.KeyRevokeResult(decode(frame.getKeyBarResult().getKey()),
 					enumConstant(RevocationOutcome.values(), frame.getKeyBarResult().getOutcome()));
 			default -> null;
