--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -174,7 +174,7 @@
 			handleFarewell(target, now);
 			return;
 		}
-		if (!(message instanceof SidecarMessage.OfStream ofStream)) {
+		if (!(message instanceof SidecarMessage.StreamMessage ofStream)) {
 			this.context.counters().strays().increment();
 			return;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
@@ -38,7 +38,7 @@
 		this.terminator = terminator;
 	}
 
-	void handle(Call call, SidecarMessage.OfStream message, long now) {
+	void handle(Call call, SidecarMessage.StreamMessage message, long now) {
 		if (call.phase() == CallPhase.REVOKING) {
 			call.recordAnswerWhileRevoking();
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
@@ -12,7 +12,7 @@
 	/**
 	 * Message about one attempt.
 	 */
-	sealed interface OfStream extends SidecarMessage {
+	sealed interface StreamMessage extends SidecarMessage {
 
 		/**
 		 * Return the attempt that the message is about.
@@ -29,7 +29,7 @@
 	 * @param generation the generation's name
 	 * @param queued the number of requests ahead of it in the queue
 	 */
-	record Accepted(StreamId stream, String generation, int queued) implements OfStream {
+	record Accepted(StreamId stream, String generation, int queued) implements StreamMessage {
 
 	}
 
@@ -40,7 +40,7 @@
 	 * @param offset the number of chunks before this one
 	 * @param data the bytes of the chunk; not copied, must not be modified
 	 */
-	record Chunk(StreamId stream, long offset, byte[] data) implements OfStream {
+	record Chunk(StreamId stream, long offset, byte[] data) implements StreamMessage {
 
 	}
 
@@ -51,7 +51,7 @@
 	 * @param total the number of chunks of the complete output
 	 * @param reason why the output ended
 	 */
-	record End(StreamId stream, long total, FinishReason reason) implements OfStream {
+	record End(StreamId stream, long total, FinishReason reason) implements StreamMessage {
 
 	}
 
@@ -61,7 +61,7 @@
 	 * @param stream the attempt
 	 * @param refusal the final answer
 	 */
-	record Refused(StreamId stream, Refusal refusal) implements OfStream {
+	record Refused(StreamId stream, Refusal refusal) implements StreamMessage {
 
 	}
 
@@ -71,7 +71,7 @@
 	 * @param stream the attempt
 	 * @param outcome the result of the revocation
 	 */
-	record RevokeResult(StreamId stream, RevocationOutcome outcome) implements OfStream {
+	record RevokeResult(StreamId stream, RevocationOutcome outcome) implements StreamMessage {
 
 	}
 
