--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/SlopesCommand.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/SlopesCommand.java
@@ -82,7 +82,7 @@
 				(n) -> parse(GeneratedFleet.document(1, n, 0)));
 		measureTime(out, "compress a configuration, by accounts", "us", ACCOUNT_COUNTS, this::compress, 1);
 		measureSize(out, "compressed configuration, by accounts (600 targets)", ACCOUNT_COUNTS,
-				(n) -> FrameCodec.encode(new ConfigurationMessage.Text(1, GeneratedFleet.document(1, 600, n)))
+				(n) -> FrameCodec.encode(new ConfigurationMessage.Document(1, GeneratedFleet.document(1, 600, n)))
 					.getSerializedSize());
 		measureTime(out, "apply a configuration to routing, by targets", "us", TARGET_COUNTS, this::applyToRouting, 1);
 		measureTime(out, "choose a target, by targets published", "us", TARGET_COUNTS, this::chooseTarget, 20_000);
@@ -107,7 +107,7 @@
 	}
 
 	private Runnable compress(int accounts) {
-		ConfigurationMessage.Text text = new ConfigurationMessage.Text(1, GeneratedFleet.document(1, 600, accounts));
+		ConfigurationMessage.Document text = new ConfigurationMessage.Document(1, GeneratedFleet.document(1, 600, accounts));
 		return () -> FrameCodec.encode(text);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/ConfigurationMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/ConfigurationMessage.java
@@ -31,7 +31,7 @@
 	 * @param version the version of the document
 	 * @param text the text of the document
 	 */
-	record Text(long version, String text) implements ConfigurationMessage {
+	record Document(long version, String text) implements ConfigurationMessage {
 
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
@@ -61,9 +61,9 @@
 		}
 		else if (message instanceof ConfigurationMessage.Request) {
 			long version = this.keeper.ledger().version();
-			this.keeper.ledger().text().ifPresent((t) -> reply.accept(new ConfigurationMessage.Text(version, t)));
+			this.keeper.ledger().text().ifPresent((t) -> reply.accept(new ConfigurationMessage.Document(version, t)));
 		}
-		else if (message instanceof ConfigurationMessage.Text text) {
+		else if (message instanceof ConfigurationMessage.Document text) {
 			this.keeper.onPeerDocument(peer, text.text(), now);
 		}
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -241,7 +241,7 @@
 		else if (message instanceof ConfigurationMessage.Request) {
 			frame.setConfigurationRequest(Protocol.ConfigurationRequest.getDefaultInstance());
 		}
-		else if (message instanceof ConfigurationMessage.Text text) {
+		else if (message instanceof ConfigurationMessage.Document text) {
 			byte[] document = text.text().getBytes(StandardCharsets.UTF_8);
 			frame.setConfigurationText(Protocol.ConfigurationText.newBuilder()
 				.setVersion(text.version())
@@ -267,7 +267,7 @@
 			case CONFIGURATION_REQUEST -> new ConfigurationMessage.Request();
 			case CONFIGURATION_TEXT -> {
 				Protocol.ConfigurationText text = frame.getConfigurationText();
-				yield new ConfigurationMessage.Text(requireNonNegative(text.getVersion()),
+				yield new ConfigurationMessage.Document(requireNonNegative(text.getVersion()),
 						DocumentCompression.inflate(text.getDeflated(), text.getDigest()));
 			}
 			default -> null;
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
@@ -126,10 +126,10 @@
 	@Test
 	void decodesConfigurationAndVerifiesItsDigest() {
 		String document = "{\"version\": 7} // ".concat("x".repeat(10_000));
-		Protocol.Frame frame = FrameCodec.encode(new ConfigurationMessage.Text(7, document));
+		Protocol.Frame frame = FrameCodec.encode(new ConfigurationMessage.Document(7, document));
 		assertThat(frame.getSerializedSize()).isLessThan(1_000);
 		assertThat(FrameCodec.decodeConfigurationMessage(frame).orElseThrow())
-			.isEqualTo(new ConfigurationMessage.Text(7, document));
+			.isEqualTo(new ConfigurationMessage.Document(7, document));
 		Protocol.Frame other = frame.toBuilder()
 			.setConfigurationText(frame.getConfigurationText().toBuilder().setDigest(ByteString.copyFromUtf8("x")))
 			.build();
