--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCall.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCall.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.Verdict;
@@ -18,7 +18,7 @@
 
 	private final String requestId;
 
-	private final Optional<OnceKey> key;
+	private final Optional<IdempotencyKey> key;
 
 	private final boolean repeatable;
 
@@ -40,7 +40,7 @@
 
 	private int connectionCount = 1;
 
-	FakeCall(int number, String requestId, Optional<OnceKey> key, boolean repeatable, int length, long startedAt) {
+	FakeCall(int number, String requestId, Optional<IdempotencyKey> key, boolean repeatable, int length, long startedAt) {
 		this.number = number;
 		this.requestId = requestId;
 		this.key = key;
@@ -57,7 +57,7 @@
 		return this.requestId;
 	}
 
-	Optional<OnceKey> key() {
+	Optional<IdempotencyKey> key() {
 		return this.key;
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCluster.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCluster.java
@@ -13,7 +13,7 @@
 import dev.laneworks.core.call.CallRequest;
 import dev.laneworks.core.configuration.Intent;
 import dev.laneworks.core.configuration.SpillRule;
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.Work;
 import dev.laneworks.core.message.WorkKind;
@@ -159,7 +159,7 @@
 		});
 	}
 
-	void revokeKeyAtHome(FakeSidecar from, String home, OnceKey key, Consumer<RevocationOutcome> answer) {
+	void revokeKeyAtHome(FakeSidecar from, String home, IdempotencyKey key, Consumer<RevocationOutcome> answer) {
 		FakeSidecar to = this.sidecars[targetIndex(home)];
 		this.time.schedule(QUERY_DELAY_MILLIS, () -> to.run(() -> {
 			RevocationOutcome outcome = to.revokeKey(key);
@@ -234,7 +234,7 @@
 		}
 	}
 
-	private void submit(int entryIndex, Optional<OnceKey> key, Optional<String> ticketTarget, boolean repeatable,
+	private void submit(int entryIndex, Optional<IdempotencyKey> key, Optional<String> ticketTarget, boolean repeatable,
 			int length, int priority) {
 		FakeEntry entry = this.entries[wrapIndex(entryIndex, ENTRIES)];
 		String requestId = "r" + this.oracle.calls().size();
@@ -254,7 +254,7 @@
 		if (firstCall != null && this.time.now() - firstCall.startedAt() >= RETRY_WINDOW_MILLIS) {
 			return;
 		}
-		OnceKey key = new OnceKey(ACCOUNT, "k" + submission.key(), OnceKey.NO_TICKET);
+		IdempotencyKey key = new IdempotencyKey(ACCOUNT, "k" + submission.key(), IdempotencyKey.NO_TICKET);
 		submit(submission.entry(), Optional.of(key), Optional.empty(), false, submission.length(), 1);
 		this.firstCallsByKey.putIfAbsent(submission.key(), this.oracle.calls().get(this.oracle.calls().size() - 1));
 	}
@@ -268,7 +268,7 @@
 				return;
 			}
 			ticket = new Ticket(targetName(target),
-					new OnceKey(ACCOUNT, "ticket" + submission.ticket(), incarnation.get()));
+					new IdempotencyKey(ACCOUNT, "ticket" + submission.ticket(), incarnation.get()));
 			this.tickets.put(submission.ticket(), ticket);
 		}
 		submit(submission.entry(), Optional.of(ticket.key()), Optional.of(ticket.target()), false, submission.length(),
@@ -445,7 +445,7 @@
 		return Math.floorMod(value, count);
 	}
 
-	private record Ticket(String target, OnceKey key) {
+	private record Ticket(String target, IdempotencyKey key) {
 
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -14,7 +14,7 @@
 import dev.laneworks.core.host.HostSettings;
 import dev.laneworks.core.message.ConfigurationMessage;
 import dev.laneworks.core.message.EntryMessage;
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.Work;
@@ -132,7 +132,7 @@
 		this.exchange.onMessage("entry", message, (m) -> send(link, m), this.time.now());
 	}
 
-	RevocationOutcome revokeKey(OnceKey key) {
+	RevocationOutcome revokeKey(IdempotencyKey key) {
 		KeyRevocation revocation = new KeyRevocation();
 		this.keyRevocation = revocation;
 		this.host.onMessage(KeyRevocation.LINK, new EntryMessage.RevokeKey(key), this.time.now());
@@ -206,7 +206,7 @@
 	}
 
 	@Override
-	public void askHome(String home, OnceKey key) {
+	public void askHome(String home, IdempotencyKey key) {
 		this.cluster.revokeKeyAtHome(this, home, key,
 				(o) -> run(() -> this.host.onHomeAnswer(home, key, o, this.time.now())));
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
@@ -18,7 +18,7 @@
 import dev.laneworks.core.host.HostSettings;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.StreamId;
 import dev.laneworks.core.message.Work;
@@ -221,7 +221,7 @@
 		}
 
 		@Override
-		public void askHome(String home, OnceKey key) {
+		public void askHome(String home, IdempotencyKey key) {
 			throw new IllegalStateException("the replay uses no keys");
 		}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -8,8 +8,8 @@
 import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.LoadReport;
-import dev.laneworks.core.message.OnceKey;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.once.KeyGuard;
@@ -178,7 +178,7 @@
 	 * @param outcome whether the key was revoked or has run there
 	 * @param now the current time in milliseconds
 	 */
-	public void onHomeAnswer(String home, OnceKey key, RevocationOutcome outcome, long now) {
+	public void onHomeAnswer(String home, IdempotencyKey key, RevocationOutcome outcome, long now) {
 		this.context.registry()
 			.findAsking(key.generationName())
 			.ifPresent((g) -> this.keyedRequests.handleHomeAnswer(g, home, outcome, now));
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostOutputs.java
@@ -1,6 +1,6 @@
 package dev.laneworks.core.host;
 
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.Work;
 
@@ -63,6 +63,6 @@
 	 * @param home the name of the former home
 	 * @param key the key
 	 */
-	void askHome(String home, OnceKey key);
+	void askHome(String home, IdempotencyKey key);
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -1,6 +1,6 @@
 package dev.laneworks.core.host;
 
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.once.KeyDecision;
 import dev.laneworks.core.once.KeyGuard;
@@ -36,7 +36,7 @@
 	 * @param key the key of the request
 	 * @param now the current time in milliseconds
 	 */
-	void decide(Generation generation, OnceKey key, long now) {
+	void decide(Generation generation, IdempotencyKey key, long now) {
 		KeyDecision decision = this.keyGuard.decide(key, generation.work().model(), this.context.ledger(), now);
 		if (decision instanceof KeyDecision.Refuse refuse) {
 			Reader reader = generation.reader().orElseThrow();
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
@@ -5,7 +5,7 @@
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.message.EntryMessage;
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.once.KeyGuard;
@@ -42,7 +42,7 @@
 	}
 
 	// Revoke a key at the request of a later home of the key.
-	RevocationOutcome revokeKey(OnceKey key, long now) {
+	RevocationOutcome revokeKey(IdempotencyKey key, long now) {
 		String name = key.generationName();
 		Optional<Generation> generation = this.context.registry().find(name);
 		if (generation.filter((g) -> !g.state().isBeforeExecution()).isPresent()
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
@@ -76,7 +76,7 @@
 	 *
 	 * @param key the key that must not run there any more
 	 */
-	record RevokeKey(OnceKey key) implements EntryMessage {
+	record RevokeKey(IdempotencyKey key) implements EntryMessage {
 
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/OnceKey.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/IdempotencyKey.java
@@ -16,14 +16,14 @@
  * {@link #NO_TICKET}
  * @since 0.1
  */
-public record OnceKey(String account, String key, long ticketIncarnation) {
+public record IdempotencyKey(String account, String key, long ticketIncarnation) {
 
 	/** Incarnation of a key without a ticket. */
 	public static final long NO_TICKET = 0L;
 
 	private static final int NAME_BYTES = 16;
 
-	public OnceKey {
+	public IdempotencyKey {
 		Objects.requireNonNull(account, "account must not be null");
 		Objects.requireNonNull(key, "key must not be null");
 		if (key.isEmpty()) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarMessage.java
@@ -98,7 +98,7 @@
 	 * @param key the revoked key
 	 * @param outcome the result of the revocation
 	 */
-	record KeyRevokeResult(OnceKey key, RevocationOutcome outcome) implements SidecarMessage {
+	record KeyRevokeResult(IdempotencyKey key, RevocationOutcome outcome) implements SidecarMessage {
 
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/Work.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/Work.java
@@ -23,7 +23,7 @@
  * @since 0.1
  */
 public record Work(String requestId, WorkKind kind, String account, String model, String method, String path,
-		byte[] body, int priority, boolean repeatable, Optional<OnceKey> onceKey, int promptTokens, int maxTokens,
+		byte[] body, int priority, boolean repeatable, Optional<IdempotencyKey> onceKey, int promptTokens, int maxTokens,
 		long patienceMillis) {
 
 	public Work {
@@ -49,7 +49,7 @@
 	 * @return the name, unique among all generations
 	 */
 	public String generationName(int attempt) {
-		return this.onceKey.map(OnceKey::generationName).orElseGet(() -> attemptName(attempt));
+		return this.onceKey.map(IdempotencyKey::generationName).orElseGet(() -> attemptName(attempt));
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
@@ -7,7 +7,7 @@
 
 import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.configuration.FleetConfiguration;
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
 import dev.laneworks.core.verdict.Verdict;
@@ -41,13 +41,13 @@
 	/**
 	 * Create a guard.
 	 * @param target the name of the sidecar's target
-	 * @param incarnation the incarnation of the sidecar, never {@link OnceKey#NO_TICKET}
+	 * @param incarnation the incarnation of the sidecar, never {@link IdempotencyKey#NO_TICKET}
 	 * @param startedAt the start time of the sidecar in milliseconds
 	 * @param views the history of published targets
 	 */
 	public KeyGuard(String target, long incarnation, long startedAt, ViewHistory views) {
-		if (incarnation == OnceKey.NO_TICKET) {
-			throw new IllegalArgumentException("incarnation must not be " + OnceKey.NO_TICKET);
+		if (incarnation == IdempotencyKey.NO_TICKET) {
+			throw new IllegalArgumentException("incarnation must not be " + IdempotencyKey.NO_TICKET);
 		}
 		this.target = target;
 		this.incarnation = incarnation;
@@ -63,7 +63,7 @@
 	 * @param now the current time in milliseconds
 	 * @return whether to run, to ask others first or to refuse
 	 */
-	public KeyDecision decide(OnceKey key, String model, ConfigurationHolder holder, long now) {
+	public KeyDecision decide(IdempotencyKey key, String model, ConfigurationHolder holder, long now) {
 		if (key.hasTicket()) {
 			return decideTicket(key);
 		}
@@ -83,7 +83,7 @@
 	 * @return {@code false} if the view of the published targets is too old or names
 	 * another home
 	 */
-	public boolean mayStillRun(OnceKey key, String model, ConfigurationHolder holder, long now) {
+	public boolean mayStillRun(IdempotencyKey key, String model, ConfigurationHolder holder, long now) {
 		return key.hasTicket() || findViewRefusal(key, model, holder, now).isEmpty();
 	}
 
@@ -98,7 +98,7 @@
 		return now - this.startedAt >= configuration.keyTimes().retentionMillis();
 	}
 
-	private Optional<Refusal> findViewRefusal(OnceKey key, String model, ConfigurationHolder holder, long now) {
+	private Optional<Refusal> findViewRefusal(IdempotencyKey key, String model, ConfigurationHolder holder, long now) {
 		FleetConfiguration configuration = holder.current().orElse(null);
 		if (configuration == null || holder.confirmedAgeMillis(now) > configuration.keyTimes().viewAge().toMillis()) {
 			return Optional.of(Refusal.notRun(RefusalReason.STALE_VIEW,
@@ -112,7 +112,7 @@
 		return Optional.empty();
 	}
 
-	private KeyDecision decideTicket(OnceKey key) {
+	private KeyDecision decideTicket(IdempotencyKey key) {
 		if (key.ticketIncarnation() == this.incarnation) {
 			return new KeyDecision.Run();
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -9,7 +9,7 @@
 import dev.laneworks.core.configuration.ConfigurationHolder;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.StreamId;
@@ -185,19 +185,19 @@
 
 	@Test
 	void runsATicketOfThisProcessOnceAndRefusesAnUnknownOne() {
-		submitKeyed(1, new OnceKey("a", "k", INCARNATION), 0);
-		submitKeyed(2, new OnceKey("a", "k", INCARNATION), 0);
+		submitKeyed(1, new IdempotencyKey("a", "k", INCARNATION), 0);
+		submitKeyed(2, new IdempotencyKey("a", "k", INCARNATION), 0);
 		assertThat(this.outputs.starts).isEqualTo(1);
-		submitKeyed(3, new OnceKey("a", "j", 5), 0);
+		submitKeyed(3, new IdempotencyKey("a", "j", 5), 0);
 		assertThat(this.outputs.last()).startsWith("look up once-");
-		this.host.onLookUp(new OnceKey("a", "j", 5).generationName(), false, 1);
+		this.host.onLookUp(new IdempotencyKey("a", "j", 5).generationName(), false, 1);
 		assertThat(this.outputs.refused).contains(RefusalReason.KEY_IN_DOUBT);
 		assertThat(this.outputs.verdict).isEqualTo(Verdict.MAY_HAVE_RUN);
 	}
 
 	@Test
 	void keepsAKeyedGenerationWhenItsReaderDisconnects() {
-		OnceKey key = new OnceKey("a", "k", INCARNATION);
+		IdempotencyKey key = new IdempotencyKey("a", "k", INCARNATION);
 		submitKeyed(1, key, 0);
 		this.host.onTargetChunk(key.generationName(), 0, data(0), 1);
 		this.host.onMessage(LINK, new EntryMessage.Release(new StreamId(1, 1), false), 2);
@@ -210,15 +210,15 @@
 
 	@Test
 	void requiresAFreshViewAndTheFullRetryWindowForAKeyWithoutTicket() {
-		submitKeyed(1, new OnceKey("a", "k", OnceKey.NO_TICKET), 0);
+		submitKeyed(1, new IdempotencyKey("a", "k", IdempotencyKey.NO_TICKET), 0);
 		assertThat(this.outputs.refused).containsExactly(RefusalReason.STALE_VIEW);
 		publish(1, 0, "t");
-		submitKeyed(2, new OnceKey("a", "k", OnceKey.NO_TICKET), 10);
+		submitKeyed(2, new IdempotencyKey("a", "k", IdempotencyKey.NO_TICKET), 10);
 		assertThat(this.outputs.last()).startsWith("look up once-");
-		this.host.onLookUp(new OnceKey("a", "k", OnceKey.NO_TICKET).generationName(), false, 20);
+		this.host.onLookUp(new IdempotencyKey("a", "k", IdempotencyKey.NO_TICKET).generationName(), false, 20);
 		assertThat(this.outputs.refused).contains(RefusalReason.KEY_IN_DOUBT);
 		this.holder.confirm(1, 0, 30_000);
-		submitKeyed(3, new OnceKey("a", "k", OnceKey.NO_TICKET), 30_000);
+		submitKeyed(3, new IdempotencyKey("a", "k", IdempotencyKey.NO_TICKET), 30_000);
 		assertThat(this.outputs.starts).isEqualTo(1);
 	}
 
@@ -226,7 +226,7 @@
 	void runsAKeyOnlyAfterTheFormerHomeRevokedIt() {
 		publish(1, 0, "u");
 		publish(2, 40_000, "t");
-		OnceKey key = new OnceKey("a", "k", OnceKey.NO_TICKET);
+		IdempotencyKey key = new IdempotencyKey("a", "k", IdempotencyKey.NO_TICKET);
 		submitKeyed(1, key, 40_010);
 		assertThat(this.outputs.last()).isEqualTo("ask u");
 		assertThat(this.outputs.starts).isEqualTo(0);
@@ -238,11 +238,11 @@
 	void doesNotRunAKeyThatAFormerHomeRanOrDidNotAnswerFor() {
 		publish(1, 0, "u");
 		publish(2, 40_000, "t");
-		OnceKey ran = new OnceKey("a", "k", OnceKey.NO_TICKET);
+		IdempotencyKey ran = new IdempotencyKey("a", "k", IdempotencyKey.NO_TICKET);
 		submitKeyed(1, ran, 40_010);
 		this.host.onHomeAnswer("u", ran, RevocationOutcome.HAS_RUN, 40_020);
 		assertThat(this.outputs.verdict).isEqualTo(Verdict.RAN);
-		submitKeyed(2, new OnceKey("a", "j", OnceKey.NO_TICKET), 40_030);
+		submitKeyed(2, new IdempotencyKey("a", "j", IdempotencyKey.NO_TICKET), 40_030);
 		this.host.tick(40_600);
 		assertThat(this.outputs.verdict).isEqualTo(Verdict.MAY_HAVE_RUN);
 		assertThat(this.outputs.starts).isEqualTo(0);
@@ -254,7 +254,7 @@
 		this.holder.confirm(1, 0, 40_000);
 		submit(LINK, 1, "a", 9, 40_000);
 		submit(LINK, 2, "b", 9, 40_000);
-		submitKeyed(3, new OnceKey("a", "k", OnceKey.NO_TICKET), 40_000);
+		submitKeyed(3, new IdempotencyKey("a", "k", IdempotencyKey.NO_TICKET), 40_000);
 		for (long now = 40_500; now < 46_000; now += 500) {
 			this.host.tick(now);
 		}
@@ -304,7 +304,7 @@
 		this.host.onMessage(link, new EntryMessage.Submit(message.stream(), message.work(), credit), now);
 	}
 
-	private void submitKeyed(long call, OnceKey key, long now) {
+	private void submitKeyed(long call, IdempotencyKey key, long now) {
 		Work work = new Work("keyed" + call, WorkKind.COMPLETION, "a", "m", "POST", "/", new byte[0], 1, false,
 				Optional.of(key), 1, 100, 10_000);
 		this.host.onMessage(LINK, new EntryMessage.Submit(new StreamId(call, 1), work, 9), now);
@@ -398,7 +398,7 @@
 		}
 
 		@Override
-		public void askHome(String home, OnceKey key) {
+		public void askHome(String home, IdempotencyKey key) {
 			this.log.add("ask " + home);
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -18,7 +18,7 @@
 import dev.laneworks.core.configuration.Intent;
 import dev.laneworks.core.configuration.ServiceDescription;
 import dev.laneworks.core.configuration.SpillRule;
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.Work;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.routing.Rendezvous;
@@ -161,13 +161,13 @@
 		}
 		Optional<OnceTicket> ticket = new TokenSealer(this.secret).openTicket(key);
 		if (ticket.isEmpty()) {
-			return Either.right(new Idempotency(Optional.of(new OnceKey(account.name(), key, OnceKey.NO_TICKET)),
+			return Either.right(new Idempotency(Optional.of(new IdempotencyKey(account.name(), key, IdempotencyKey.NO_TICKET)),
 					Optional.empty()));
 		}
 		if (!ticket.get().account().equals(account.name())) {
 			return badRequest("the ticket in the Idempotency-Key belongs to another account");
 		}
-		OnceKey ticketKey = new OnceKey(account.name(), ticket.get().identity(), ticket.get().incarnation());
+		IdempotencyKey ticketKey = new IdempotencyKey(account.name(), ticket.get().identity(), ticket.get().incarnation());
 		return Either.right(new Idempotency(Optional.of(ticketKey), Optional.of(ticket.get().target())));
 	}
 
@@ -220,7 +220,7 @@
 
 	}
 
-	private record Idempotency(Optional<OnceKey> key, Optional<String> ticketTarget) {
+	private record Idempotency(Optional<IdempotencyKey> key, Optional<String> ticketTarget) {
 
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
@@ -8,8 +8,8 @@
 
 import dev.laneworks.core.host.HostOutputs;
 import dev.laneworks.core.message.EntryMessage;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.LoadReport;
-import dev.laneworks.core.message.OnceKey;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.Work;
 import dev.laneworks.sidecar.target.TargetClient;
@@ -30,7 +30,7 @@
 
 	private final Set<String> linkedHomes = new HashSet<>();
 
-	private final Map<String, Set<OnceKey>> unsentKeys = new HashMap<>();
+	private final Map<String, Set<IdempotencyKey>> unsentKeys = new HashMap<>();
 
 	private Supplier<LoadReport> load;
 
@@ -85,7 +85,7 @@
 	}
 
 	@Override
-	public void askHome(String home, OnceKey key) {
+	public void askHome(String home, IdempotencyKey key) {
 		if (this.linkedHomes.contains(home)) {
 			this.otherSidecars.send(home, new EntryMessage.RevokeKey(key));
 			return;
@@ -96,7 +96,7 @@
 
 	void onHomeUp(String home) {
 		this.linkedHomes.add(home);
-		Set<OnceKey> keys = this.unsentKeys.remove(home);
+		Set<IdempotencyKey> keys = this.unsentKeys.remove(home);
 		if (keys != null) {
 			keys.forEach((k) -> this.otherSidecars.send(home, new EntryMessage.RevokeKey(k)));
 		}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -8,8 +8,8 @@
 import dev.laneworks.core.message.ConfigurationMessage;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.LoadReport;
-import dev.laneworks.core.message.OnceKey;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.StreamId;
@@ -297,7 +297,7 @@
 	}
 
 	private static EntryMessage.Submit decodeSubmit(Protocol.Submit submit) {
-		Optional<OnceKey> key = submit.hasOnceKey() ? Optional.of(decode(submit.getOnceKey())) : Optional.empty();
+		Optional<IdempotencyKey> key = submit.hasOnceKey() ? Optional.of(decode(submit.getOnceKey())) : Optional.empty();
 		try {
 			Work work = new Work(submit.getRequestId(), enumConstant(WorkKind.values(), submit.getKind()),
 					submit.getAccount(), submit.getModel(), submit.getMethod(), submit.getPath(),
@@ -360,7 +360,7 @@
 		return new StreamId(stream.getCall(), stream.getAttempt());
 	}
 
-	private static Protocol.OnceKey encode(OnceKey key) {
+	private static Protocol.OnceKey encode(IdempotencyKey key) {
 		return Protocol.OnceKey.newBuilder()
 			.setAccount(key.account())
 			.setKey(key.key())
@@ -368,11 +368,11 @@
 			.build();
 	}
 
-	private static OnceKey decode(Protocol.OnceKey key) {
+	private static IdempotencyKey decode(Protocol.OnceKey key) {
 		if (key.getKey().isEmpty()) {
 			throw new InvalidFrameException("the idempotency key must not be empty");
 		}
-		return new OnceKey(key.getAccount(), key.getKey(), key.getTicketIncarnation());
+		return new IdempotencyKey(key.getAccount(), key.getKey(), key.getTicketIncarnation());
 	}
 
 	private static long requireNonNegative(long value) {
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
@@ -11,7 +11,7 @@
 import dev.laneworks.core.message.ConfigurationMessage;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
-import dev.laneworks.core.message.OnceKey;
+import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.StreamId;
 import dev.laneworks.core.message.Work;
@@ -105,7 +105,7 @@
 	@Property(seed = "8", tries = 100)
 	void decodesEncodedEntryMessages(@ForAll long call, @ForAll @IntRange(min = 1) int attempt,
 			@ForAll @Size(max = 100) byte[] body, @ForAll boolean hasKey) {
-		Optional<OnceKey> key = hasKey ? Optional.of(new OnceKey("a", "k", call)) : Optional.empty();
+		Optional<IdempotencyKey> key = hasKey ? Optional.of(new IdempotencyKey("a", "k", call)) : Optional.empty();
 		Work work = new Work("r", WorkKind.CHAT, "a", "m", "POST", "/p", body, 3, !hasKey, key, 7, 9, 1_000);
 		EntryMessage.Submit submit = new EntryMessage.Submit(new StreamId(call, attempt), work, 12);
 		EntryMessage.Submit decoded = (EntryMessage.Submit) FrameCodec
