--- a/laneworks-core/src/main/java/dev/laneworks/core/stream/OnceTicket.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/stream/RequestTicket.java
@@ -12,9 +12,9 @@
  * @param identity the identifier of the request, unique among all tickets
  * @since 0.1
  */
-public record OnceTicket(String target, long incarnation, String account, String identity) {
+public record RequestTicket(String target, long incarnation, String account, String identity) {
 
-	public OnceTicket {
+	public RequestTicket {
 		Objects.requireNonNull(target, "target must not be null");
 		Objects.requireNonNull(account, "account must not be null");
 		Objects.requireNonNull(identity, "identity must not be null");
--- a/laneworks-core/src/main/java/dev/laneworks/core/stream/TokenSealer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/stream/TokenSealer.java
@@ -83,7 +83,7 @@
 	 * @param ticket the ticket to encode
 	 * @return the token, which is safe in a header
 	 */
-	public String sealTicket(OnceTicket ticket) {
+	public String sealTicket(RequestTicket ticket) {
 		return sign(TokenType.TICKET, ticket.target(), Long.toHexString(ticket.incarnation()), ticket.account(),
 				ticket.identity());
 	}
@@ -94,9 +94,9 @@
 	 * @return the ticket, or empty if the token was not signed with this secret or does
 	 * not encode a ticket
 	 */
-	public Optional<OnceTicket> openTicket(String token) {
+	public Optional<RequestTicket> openTicket(String token) {
 		return verify(TokenType.TICKET, token, TICKET_FIELDS)
-			.map((f) -> new OnceTicket(f[0], Long.parseUnsignedLong(f[1], HEX_RADIX), f[2], f[3]));
+			.map((f) -> new RequestTicket(f[0], Long.parseUnsignedLong(f[1], HEX_RADIX), f[2], f[3]));
 	}
 
 	private String sign(TokenType type, String... fields) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/stream/TokenSealerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/stream/TokenSealerTests.java
@@ -43,7 +43,7 @@
 
 	@Test
 	void rejectsATicketAsAPosition() {
-		String ticket = this.sealer.sealTicket(new OnceTicket("t1", 7, "account", "identity"));
+		String ticket = this.sealer.sealTicket(new RequestTicket("t1", 7, "account", "identity"));
 		assertThat(this.sealer.openPosition(ticket).isEmpty()).isTrue();
 		assertThat(this.sealer.openTicket(ticket).orElseThrow().identity()).isEqualTo("identity");
 	}
@@ -51,7 +51,7 @@
 	@Test
 	void rejectsATokenOfAnotherSecret() {
 		TokenSealer other = new TokenSealer("another secret of some length".getBytes(StandardCharsets.UTF_8));
-		String ticket = other.sealTicket(new OnceTicket("t1", 7, "account", "identity"));
+		String ticket = other.sealTicket(new RequestTicket("t1", 7, "account", "identity"));
 		assertThat(this.sealer.openTicket(ticket).isEmpty()).isTrue();
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/DutyCallPort.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/DutyCallPort.java
@@ -11,7 +11,7 @@
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.configuration.TargetDescription;
 import dev.laneworks.core.routing.Rendezvous;
-import dev.laneworks.core.stream.OnceTicket;
+import dev.laneworks.core.stream.RequestTicket;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.entry.caller.CallPort;
 import dev.laneworks.entry.caller.CallerResponse;
@@ -94,7 +94,7 @@
 	}
 
 	@Override
-	public Optional<OnceTicket> createTicket(String account, String model) {
+	public Optional<RequestTicket> createTicket(String account, String model) {
 		FleetConfiguration current = this.configuration;
 		if (current == null) {
 			return Optional.empty();
@@ -106,7 +106,7 @@
 			.toList();
 		Optional<TargetDescription> home = Rendezvous.first(Rendezvous.hash(identity), linked, TargetDescription::name);
 		return home.flatMap((t) -> Optional.ofNullable(this.incarnations.get(t.name()))
-			.map((i) -> new OnceTicket(t.name(), i, account, identity)));
+			.map((i) -> new RequestTicket(t.name(), i, account, identity)));
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallPort.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallPort.java
@@ -4,7 +4,7 @@
 
 import dev.laneworks.core.call.CallRequest;
 import dev.laneworks.core.configuration.FleetConfiguration;
-import dev.laneworks.core.stream.OnceTicket;
+import dev.laneworks.core.stream.RequestTicket;
 import dev.laneworks.core.stream.StreamPosition;
 
 /**
@@ -66,6 +66,6 @@
 	 * @param model the model or service
 	 * @return the ticket, or empty if no target is available as its home
 	 */
-	Optional<OnceTicket> createTicket(String account, String model);
+	Optional<RequestTicket> createTicket(String account, String model);
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -12,7 +12,7 @@
 import dev.laneworks.core.configuration.AccountDescription;
 import dev.laneworks.core.configuration.FleetConfiguration;
 import dev.laneworks.core.message.WorkKind;
-import dev.laneworks.core.stream.OnceTicket;
+import dev.laneworks.core.stream.RequestTicket;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.core.stream.TokenSealer;
 import dev.laneworks.core.verdict.Refusal;
@@ -221,7 +221,7 @@
 						"the account may use no model or service named '" + model + "'"));
 				return;
 			}
-			Optional<OnceTicket> ticket = this.calls.createTicket(a.name(), model);
+			Optional<RequestTicket> ticket = this.calls.createTicket(a.name(), model);
 			if (ticket.isEmpty()) {
 				CallerProblem.send(exchange, Refusal.notRun(RefusalReason.NO_TARGET,
 						"no target is available as the home of a ticket", RETRY_DELAY));
