--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -17,7 +17,7 @@
 import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.once.KeyGuard;
 import dev.laneworks.core.once.ViewHistory;
 import dev.laneworks.core.peer.ConfigurationExchange;
@@ -163,11 +163,11 @@
 	}
 
 	@Override
-	public void start(String generation, Work work) {
+	public void start(String generation, SidecarRequest request) {
 		if (this.host.isLeaving()) {
 			throw new InvariantViolationException("a draining target started a new generation: " + generation);
 		}
-		int length = Integer.parseInt(new String(work.body(), StandardCharsets.UTF_8));
+		int length = Integer.parseInt(new String(request.body(), StandardCharsets.UTF_8));
 		FakeStream stream = openStream(generation);
 		this.time.schedule(ENGINE_DELAY_MILLIS, () -> this.engine.start(generation, length, stream));
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
@@ -20,8 +20,8 @@
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.SidecarMessage;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.Work;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.once.KeyGuard;
 import dev.laneworks.core.once.ViewHistory;
@@ -117,11 +117,11 @@
 		String target = route.get().target().name();
 		this.states.state(target).recordSent();
 		String model = this.encodeLength ? MODEL + arrival.length() : MODEL;
-		Work work = new Work(String.valueOf(number), WorkKind.COMPLETION, arrival.account(), model, "POST", "/",
+		SidecarRequest request = new SidecarRequest(String.valueOf(number), WorkKind.COMPLETION, arrival.account(), model, "POST", "/",
 				new byte[0], arrival.priority(), true, Optional.empty(), arrival.promptTokens(), 65_536,
 				arrival.timeoutMillis());
 		this.hosts[Integer.parseInt(target.substring(1))].onMessage(number,
-				new EntryMessage.Submit(new StreamId(number, 1), work, Long.MAX_VALUE), this.now);
+				new EntryMessage.Submit(new StreamId(number, 1), request, Long.MAX_VALUE), this.now);
 	}
 
 	// Retry a request that was refused at admission once at another engine, as an entry
@@ -187,7 +187,7 @@
 		}
 
 		@Override
-		public void start(String generation, Work work) {
+		public void start(String generation, SidecarRequest request) {
 			int number = CorePolicy.requestNumber(generation);
 			CorePolicy.this.replay.start(this.engine, number, CorePolicy.this.replay.trace().arrivals().get(number),
 					CorePolicy.this.now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/LengthClass.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/LengthClass.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.WorkKind;
 
 /**
@@ -23,11 +23,11 @@
 
 	/**
 	 * Return the class of a request.
-	 * @param work the request
+	 * @param request the request
 	 * @return the class by account, model and kind
 	 */
-	public static LengthClass of(Work work) {
-		return new LengthClass(work.account(), work.model(), work.kind());
+	public static LengthClass of(SidecarRequest request) {
+		return new LengthClass(request.account(), request.model(), request.kind());
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/AttemptDispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/AttemptDispatcher.java
@@ -5,8 +5,8 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.message.EntryMessage;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.Work;
 import dev.laneworks.core.routing.Route;
 import dev.laneworks.core.routing.RouteRequest;
 import dev.laneworks.core.routing.TargetSelector;
@@ -64,11 +64,11 @@
 			return;
 		}
 		StreamId stream = call.startAttempt(this.context.sidecars().incarnation(call.target()).orElseThrow());
-		Work work = call.work().withPatience(remainingMillis);
+		SidecarRequest request = call.work().withCallerTimeout(remainingMillis);
 		call.setCreditLimit(this.context.settings().window());
 		call.enter(CallPhase.SUBMITTED, now + this.context.settings().dispatchMillis());
 		this.context.targets().markSent(call);
-		this.context.outputs().send(call.target(), new EntryMessage.Submit(stream, work, call.creditLimit()));
+		this.context.outputs().send(call.target(), new EntryMessage.Submit(stream, request, call.creditLimit()));
 	}
 
 	// Prevents an unanswered attempt from being executed later.
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/Call.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/Call.java
@@ -3,8 +3,8 @@
 import java.util.HashSet;
 import java.util.Set;
 
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.Work;
 import dev.laneworks.core.verdict.Verdict;
 
 /**
@@ -60,7 +60,7 @@
 	Call(long number, CallRequest request, long now) {
 		this.number = number;
 		this.request = request;
-		this.firstOutputDeadline = now + request.work().patienceMillis();
+		this.firstOutputDeadline = now + request.work().callerTimeoutMillis();
 	}
 
 	long number() {
@@ -71,7 +71,7 @@
 		return this.request;
 	}
 
-	Work work() {
+	SidecarRequest work() {
 		return this.request.work();
 	}
 
@@ -217,7 +217,7 @@
 	}
 
 	boolean hasFixedTarget() {
-		return work().onceKey().isPresent();
+		return work().idempotencyKey().isPresent();
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallRequest.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 import dev.laneworks.core.configuration.Intent;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 
 /**
  * Request of a caller with the properties that routing needs.
@@ -16,7 +16,7 @@
  * @param mayReturn whether a disconnected caller may resume the output later
  * @since 0.1
  */
-public record CallRequest(Work work, Intent intent, long prefixHash, Optional<String> ticketTarget, boolean mayReturn) {
+public record CallRequest(SidecarRequest work, Intent intent, long prefixHash, Optional<String> ticketTarget, boolean mayReturn) {
 
 	public CallRequest {
 		Objects.requireNonNull(work, "work must not be null");
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/AdmissionController.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/AdmissionController.java
@@ -11,7 +11,7 @@
 import dev.laneworks.core.admission.LengthModel;
 import dev.laneworks.core.admission.MemoryForecast;
 import dev.laneworks.core.admission.WaitEstimate;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
 
@@ -56,19 +56,19 @@
 	}
 
 	// Return the refusal of a request that cannot be queued here, if any.
-	Optional<Refusal> findRefusal(Work work, long now) {
-		if (limitsMemory() && work.promptTokens() >= this.settings.capacityTokens()) {
+	Optional<Refusal> findRefusal(SidecarRequest request, long now) {
+		if (limitsMemory() && request.promptTokens() >= this.settings.capacityTokens()) {
 			return Optional
 				.of(Refusal.never(RefusalReason.BAD_REQUEST, "the prompt is larger than the engine's memory"));
 		}
 		if (this.queue.size() >= this.settings.maxQueued()) {
 			return Optional
-				.of(Refusal.notRun(RefusalReason.OVERLOADED, "the queue is full", retryAfter(work.priority(), now)));
+				.of(Refusal.notRun(RefusalReason.OVERLOADED, "the queue is full", retryAfter(request.priority(), now)));
 		}
-		int ahead = this.queue.ahead(work.priority());
-		if (ahead > 0 && this.waitEstimate.waitMillis(ahead, now) > work.patienceMillis()) {
+		int ahead = this.queue.ahead(request.priority());
+		if (ahead > 0 && this.waitEstimate.waitMillis(ahead, now) > request.callerTimeoutMillis()) {
 			return Optional.of(Refusal.notRun(RefusalReason.WAIT_TOO_LONG,
-					"the estimated wait exceeds the caller's timeout", retryAfter(work.priority(), now)));
+					"the estimated wait exceeds the caller's timeout", retryAfter(request.priority(), now)));
 		}
 		return Optional.empty();
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Generation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Generation.java
@@ -8,7 +8,7 @@
 import dev.laneworks.core.admission.MemoryUser;
 import dev.laneworks.core.admission.QueueEntry;
 import dev.laneworks.core.message.FinishReason;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.stream.ChunkLog;
 import dev.laneworks.core.verdict.Refusal;
@@ -20,7 +20,7 @@
 
 	private final String name;
 
-	private final Work work;
+	private final SidecarRequest work;
 
 	private final LengthClass lengthClass;
 
@@ -56,23 +56,23 @@
 
 	private boolean delivered;
 
-	Generation(String name, Work work, double weight, GenerationState state, long now) {
+	Generation(String name, SidecarRequest request, double weight, GenerationState state, long now) {
 		this.name = name;
-		this.work = work;
-		this.lengthClass = LengthClass.of(work);
+		this.work = request;
+		this.lengthClass = LengthClass.of(request);
 		this.weight = weight;
 		this.state = state;
 		this.queuedAt = now;
 		this.readerLostAt = now;
-		this.deadline = now + work.patienceMillis();
+		this.deadline = now + request.callerTimeoutMillis();
 	}
 
 	// Create a generation that an earlier sidecar process started, of which only the
 	// name is known.
 	static Generation adopted(String name, long now) {
-		Work work = new Work(name, WorkKind.COMPLETION, "", "", "", "", new byte[0], 0, false, Optional.empty(), 0,
+		SidecarRequest request = new SidecarRequest(name, WorkKind.COMPLETION, "", "", "", "", new byte[0], 0, false, Optional.empty(), 0,
 				Integer.MAX_VALUE, 0);
-		Generation generation = new Generation(name, work, 1, GenerationState.RUNNING, now);
+		Generation generation = new Generation(name, request, 1, GenerationState.RUNNING, now);
 		generation.startedAtTarget = true;
 		return generation;
 	}
@@ -81,12 +81,12 @@
 		return this.name;
 	}
 
-	Work work() {
+	SidecarRequest work() {
 		return this.work;
 	}
 
 	boolean isKeyed() {
-		return this.work.onceKey().isPresent();
+		return this.work.idempotencyKey().isPresent();
 	}
 
 	GenerationState state() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostAudit.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostAudit.java
@@ -3,7 +3,7 @@
 import dev.laneworks.core.audit.AuditEvent;
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.audit.AuditSink;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.verdict.Refusal;
 
 /**
@@ -33,8 +33,8 @@
 		this.sink.record(new AuditEvent(kind, generation.name(), generation.account(), this.target, cause));
 	}
 
-	void refused(Work work, Refusal refusal) {
-		this.sink.record(new AuditEvent(AuditKind.REFUSED, work.requestId(), work.account(), this.target,
+	void refused(SidecarRequest request, Refusal refusal) {
+		this.sink.record(new AuditEvent(AuditKind.REFUSED, request.requestId(), request.account(), this.target,
 				refusal.verdict().label() + ", " + refusal.reason().label() + ": " + refusal.detail()));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostOutputs.java
@@ -2,7 +2,7 @@
 
 import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.SidecarMessage;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 
 /**
  * Operations of a {@link GenerationHost} on entries, its target and other sidecars.
@@ -23,9 +23,9 @@
 	/**
 	 * Start a request at the target.
 	 * @param generation the generation's name
-	 * @param work the request
+	 * @param request the request
 	 */
-	void start(String generation, Work work);
+	void start(String generation, SidecarRequest request);
 
 	/**
 	 * Request the output of a generation from the target, starting at an offset.
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Refuser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Refuser.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 import dev.laneworks.core.message.SidecarMessage;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.Work;
 import dev.laneworks.core.verdict.Refusal;
 
 /**
@@ -18,9 +18,9 @@
 		this.context = context;
 	}
 
-	void refuse(long link, StreamId stream, Work work, Refusal refusal) {
+	void refuse(long link, StreamId stream, SidecarRequest request, Refusal refusal) {
 		this.context.counters().refused().increment();
-		this.context.audit().refused(work, refusal);
+		this.context.audit().refused(request, refusal);
 		this.context.outputs().send(link, new SidecarMessage.Refused(stream, refusal));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/RequestAcceptor.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/RequestAcceptor.java
@@ -5,7 +5,7 @@
 import dev.laneworks.core.audit.AuditKind;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.SidecarMessage;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
 
@@ -48,8 +48,8 @@
 	}
 
 	void submit(long link, EntryMessage.Submit submit, long now) {
-		Work work = submit.work();
-		String name = work.generationName(submit.stream().attempt());
+		SidecarRequest request = submit.work();
+		String name = request.generationName(submit.stream().attempt());
 		Reader reader = new Reader(link, submit.stream(), 0, submit.creditLimit());
 		Optional<Generation> existing = this.context.registry().find(name);
 		if (existing.isPresent()) {
@@ -58,17 +58,17 @@
 		}
 		Optional<Refusal> refusal = findSubmitRefusal(name, submit, now);
 		if (refusal.isPresent()) {
-			this.refuser.refuse(link, submit.stream(), work, refusal.get());
+			this.refuser.refuse(link, submit.stream(), request, refusal.get());
 			return;
 		}
-		Generation generation = new Generation(name, work, weight(work), GenerationState.QUEUED, now);
+		Generation generation = new Generation(name, request, weight(request), GenerationState.QUEUED, now);
 		this.context.delivery().attachReader(generation, reader);
-		if (work.onceKey().isEmpty()) {
+		if (request.idempotencyKey().isEmpty()) {
 			this.context.registry().put(generation);
 			this.slots.enqueue(generation, now);
 			return;
 		}
-		this.keyedRequests.decide(generation, work.onceKey().get(), now);
+		this.keyedRequests.decide(generation, request.idempotencyKey().get(), now);
 	}
 
 	void attach(long link, EntryMessage.Attach attach, long now) {
@@ -127,10 +127,10 @@
 		this.context.delivery().replaceReader(generation, reader, now);
 	}
 
-	private double weight(Work work) {
+	private double weight(SidecarRequest request) {
 		return this.context.ledger()
 			.current()
-			.flatMap((c) -> c.accountByName(work.account()))
+			.flatMap((c) -> c.accountByName(request.account()))
 			.map((a) -> a.weight())
 			.orElse(1.0);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/SlotAllocator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/SlotAllocator.java
@@ -28,7 +28,7 @@
 	// Queue a request and admit it immediately if a slot is free.
 	void enqueue(Generation generation, long now) {
 		generation.transitionTo(GenerationState.QUEUED);
-		generation.setDeadline(now + generation.work().patienceMillis());
+		generation.setDeadline(now + generation.work().callerTimeoutMillis());
 		generation.reader()
 			.ifPresent((r) -> this.context.outputs()
 				.send(r.link(), new SidecarMessage.Accepted(r.stream(), generation.name(),
@@ -86,7 +86,7 @@
 
 	private boolean mayStillRun(Generation generation, long now) {
 		return generation.work()
-			.onceKey()
+			.idempotencyKey()
 			.map((k) -> this.keyGuard.mayStillRun(k, generation.work().model(), this.context.ledger(), now))
 			.orElse(true);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/EntryMessage.java
@@ -14,7 +14,7 @@
 	 * @param work the request to execute
 	 * @param creditLimit the first offset that must not be sent yet
 	 */
-	record Submit(StreamId stream, Work work, long creditLimit) implements EntryMessage {
+	record Submit(StreamId stream, SidecarRequest work, long creditLimit) implements EntryMessage {
 
 	}
 
@@ -36,7 +36,7 @@
 	 * Revokes an attempt so that it does not run unless it has run already.
 	 *
 	 * @param stream the attempt
-	 * @param attemptName the name of the attempt, as returned by {@link Work#attemptName}
+	 * @param attemptName the name of the attempt, as returned by {@link SidecarRequest#attemptName}
 	 * @param generation the name that the attempt's generation would have
 	 * @param incarnation the incarnation of the sidecar that the attempt was sent to
 	 */
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/Work.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarRequest.java
@@ -15,23 +15,23 @@
  * @param body the body for the target; not copied, must not be modified
  * @param priority the priority, of which a higher one is admitted first; 0 is batch work
  * @param repeatable whether the request may run more than once
- * @param onceKey the idempotency key of a request that is not repeatable, or empty
+ * @param idempotencyKey the idempotency key of a request that is not repeatable, or empty
  * @param promptTokens the estimated number of tokens in the prompt, not negative
  * @param maxTokens the maximum number of output tokens, at least 1
- * @param patienceMillis the time until the caller needs the first token, in milliseconds
+ * @param callerTimeoutMillis the time until the caller needs the first token, in milliseconds
  * from now
  * @since 0.1
  */
-public record Work(String requestId, WorkKind kind, String account, String model, String method, String path,
-		byte[] body, int priority, boolean repeatable, Optional<IdempotencyKey> onceKey, int promptTokens, int maxTokens,
-		long patienceMillis) {
+public record SidecarRequest(String requestId, WorkKind kind, String account, String model, String method, String path,
+		byte[] body, int priority, boolean repeatable, Optional<IdempotencyKey> idempotencyKey, int promptTokens, int maxTokens,
+		long callerTimeoutMillis) {
 
-	public Work {
+	public SidecarRequest {
 		Objects.requireNonNull(requestId, "requestId must not be null");
 		Objects.requireNonNull(kind, "kind must not be null");
 		Objects.requireNonNull(account, "account must not be null");
 		Objects.requireNonNull(model, "model must not be null");
-		Objects.requireNonNull(onceKey, "onceKey must not be null");
+		Objects.requireNonNull(idempotencyKey, "idempotencyKey must not be null");
 		if (promptTokens < 0) {
 			throw new IllegalArgumentException("promptTokens must not be negative but is " + promptTokens);
 		}
@@ -49,7 +49,7 @@
 	 * @return the name, unique among all generations
 	 */
 	public String generationName(int attempt) {
-		return this.onceKey.map(IdempotencyKey::generationName).orElseGet(() -> attemptName(attempt));
+		return this.idempotencyKey.map(IdempotencyKey::generationName).orElseGet(() -> attemptName(attempt));
 	}
 
 	/**
@@ -64,11 +64,11 @@
 	/**
 	 * Create a copy with another time until the caller needs the first token.
 	 * @param millis the remaining time in milliseconds
-	 * @return a copy that differs in {@code patienceMillis} only
+	 * @return a copy that differs in {@code callerTimeoutMillis} only
 	 */
-	public Work withPatience(long millis) {
-		return new Work(this.requestId, this.kind, this.account, this.model, this.method, this.path, this.body,
-				this.priority, this.repeatable, this.onceKey, this.promptTokens, this.maxTokens, millis);
+	public SidecarRequest withCallerTimeout(long millis) {
+		return new SidecarRequest(this.requestId, this.kind, this.account, this.model, this.method, this.path, this.body,
+				this.priority, this.repeatable, this.idempotencyKey, this.promptTokens, this.maxTokens, millis);
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -15,8 +15,8 @@
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.Work;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.retry.Backoff;
 import dev.laneworks.core.retry.RetryBudget;
@@ -235,10 +235,10 @@
 	}
 
 	private void open(boolean repeatable) {
-		Work work = new Work("request", WorkKind.COMPLETION, "a", "m", "POST", "/", new byte[0], 1, repeatable,
+		SidecarRequest request = new SidecarRequest("request", WorkKind.COMPLETION, "a", "m", "POST", "/", new byte[0], 1, repeatable,
 				Optional.empty(), 1, 100, 10_000);
 		Intent intent = new Intent("*", "m", "", "1", 1, List.of(), SpillRule.ANY, true);
-		this.coordinator.open(1, new CallRequest(work, intent, 0, Optional.empty(), false), 0);
+		this.coordinator.open(1, new CallRequest(request, intent, 0, Optional.empty(), false), 0);
 	}
 
 	private void accept(String target, StreamId stream) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -19,7 +19,7 @@
 import dev.laneworks.core.configuration.ServiceDescription;
 import dev.laneworks.core.configuration.SpillRule;
 import dev.laneworks.core.message.IdempotencyKey;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.routing.Rendezvous;
 import dev.laneworks.core.stream.RequestTicket;
@@ -117,7 +117,7 @@
 		String path = (kind == WorkKind.CHAT) ? "/v1/chat/completions" : "/v1/completions";
 		return readIdempotency(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
 			boolean repeatable = o.key().isEmpty() && intent.get().repeatable();
-			Work work = new Work(createRequestId(), kind, account.name(), model, "POST", path, targetBody,
+			SidecarRequest work = new SidecarRequest(createRequestId(), kind, account.name(), model, "POST", path, targetBody,
 					intent.get().priority(), repeatable, o.key(), Math.max(1, prompt.length() / CHARS_PER_TOKEN),
 					maxTokens, p);
 			CallRequest request = new CallRequest(work, intent.get(), prefixHash(prompt), o.ticketTarget(), stream);
@@ -137,17 +137,17 @@
 		String query = exchange.getQueryString().isEmpty() ? "" : '?' + exchange.getQueryString();
 		return readIdempotency(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
 			boolean repeatable = o.key().isEmpty() && service.get().isRepeatable(method, path);
-			Work work = new Work(createRequestId(), WorkKind.SERVICE, account.name(), name, method, path + query, body,
+			SidecarRequest request = new SidecarRequest(createRequestId(), WorkKind.SERVICE, account.name(), name, method, path + query, body,
 					intent.get().priority(), repeatable, o.key(), 0, 1, p);
-			return new CallRequest(work, intent.get(), 0, o.ticketTarget(), false);
+			return new CallRequest(request, intent.get(), 0, o.ticketTarget(), false);
 		}));
 	}
 
 	static CallRequest resumedRequest(String account) {
-		Work work = new Work(createRequestId(), WorkKind.COMPLETION, account, "", "", "", new byte[0], 0, false,
+		SidecarRequest request = new SidecarRequest(createRequestId(), WorkKind.COMPLETION, account, "", "", "", new byte[0], 0, false,
 				Optional.empty(), 0, 1, 0);
 		Intent intent = new Intent(account, "", "", "", 0, List.of(), SpillRule.NONE, false);
-		return new CallRequest(work, intent, 0, Optional.empty(), true);
+		return new CallRequest(request, intent, 0, Optional.empty(), true);
 	}
 
 	private Either<Refusal, Idempotency> readIdempotency(HttpServerExchange exchange, AccountDescription account) {
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
@@ -11,7 +11,7 @@
 import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.LoadReport;
 import dev.laneworks.core.message.SidecarMessage;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.sidecar.target.TargetClient;
 import dev.laneworks.wire.Link;
 import dev.laneworks.wire.TargetLinks;
@@ -55,8 +55,8 @@
 	}
 
 	@Override
-	public void start(String generation, Work work) {
-		this.target.start(generation, work);
+	public void start(String generation, SidecarRequest request) {
+		this.target.start(generation, request);
 	}
 
 	@Override
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
@@ -9,7 +9,7 @@
 import dev.laneworks.core.host.TargetLoss;
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.ServiceReply;
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.runtime.http.HttpCall;
 import dev.laneworks.runtime.http.HttpCaller;
@@ -57,15 +57,15 @@
 	}
 
 	@Override
-	public void start(String generation, Work work) {
-		if (work.kind() == WorkKind.SERVICE) {
-			startService(generation, work);
+	public void start(String generation, SidecarRequest request) {
+		if (request.kind() == WorkKind.SERVICE) {
+			startService(generation, request);
 			return;
 		}
 		List<HttpHeader> headers = List.of(new HttpHeader("Content-Type", "application/json"),
 				new HttpHeader("X-Request-Id", generation),
-				new HttpHeader("X-Priority", String.valueOf(work.priority())));
-		HttpCall call = new HttpCall(this.server, work.method(), work.path(), headers, work.body());
+				new HttpHeader("X-Priority", String.valueOf(request.priority())));
+		HttpCall call = new HttpCall(this.server, request.method(), request.path(), headers, request.body());
 		stream(generation, call, 0);
 	}
 
@@ -109,12 +109,12 @@
 		}
 	}
 
-	private void startService(String generation, Work work) {
-		List<HttpHeader> headers = (work.body().length > 0)
+	private void startService(String generation, SidecarRequest request) {
+		List<HttpHeader> headers = (request.body().length > 0)
 				? List.of(new HttpHeader("Content-Type", "application/octet-stream"),
 						new HttpHeader("X-Request-Id", generation))
 				: List.of(new HttpHeader("X-Request-Id", generation));
-		HttpCall call = new HttpCall(this.server, work.method(), work.path(), headers, work.body());
+		HttpCall call = new HttpCall(this.server, request.method(), request.path(), headers, request.body());
 		ServiceAnswer answer = new ServiceAnswer(generation);
 		this.caller.call(call, answer);
 	}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/TargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/TargetClient.java
@@ -1,6 +1,6 @@
 package dev.laneworks.sidecar.target;
 
-import dev.laneworks.core.message.Work;
+import dev.laneworks.core.message.SidecarRequest;
 
 /**
  * Client of the target next to the sidecar.
@@ -12,9 +12,9 @@
 	/**
 	 * Start the execution of a request.
 	 * @param generation the id to assign to the generation
-	 * @param work the request to execute
+	 * @param request the request to execute
 	 */
-	void start(String generation, Work work);
+	void start(String generation, SidecarRequest request);
 
 	/**
 	 * Request the output of a generation again.
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -12,8 +12,8 @@
 import dev.laneworks.core.message.LoadReport;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.Work;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
@@ -276,34 +276,34 @@
 	}
 
 	private static Protocol.Submit encodeSubmit(EntryMessage.Submit submit) {
-		Work work = submit.work();
+		SidecarRequest request = submit.work();
 		Protocol.Submit.Builder builder = Protocol.Submit.newBuilder()
 			.setStream(encode(submit.stream()))
-			.setRequestId(work.requestId())
-			.setKind(work.kind().ordinal())
-			.setAccount(work.account())
-			.setModel(work.model())
-			.setMethod(work.method())
-			.setPath(work.path())
-			.setBody(UnsafeByteOperations.unsafeWrap(work.body()))
-			.setPriority(work.priority())
-			.setRepeatable(work.repeatable())
-			.setPromptTokens(work.promptTokens())
-			.setMaxTokens(work.maxTokens())
-			.setPatienceMillis(work.patienceMillis())
+			.setRequestId(request.requestId())
+			.setKind(request.kind().ordinal())
+			.setAccount(request.account())
+			.setModel(request.model())
+			.setMethod(request.method())
+			.setPath(request.path())
+			.setBody(UnsafeByteOperations.unsafeWrap(request.body()))
+			.setPriority(request.priority())
+			.setRepeatable(request.repeatable())
+			.setPromptTokens(request.promptTokens())
+			.setMaxTokens(request.maxTokens())
+			.setPatienceMillis(request.callerTimeoutMillis())
 			.setCreditLimit(submit.creditLimit());
-		work.onceKey().ifPresent((k) -> builder.setOnceKey(encode(k)));
+		request.idempotencyKey().ifPresent((k) -> builder.setOnceKey(encode(k)));
 		return builder.build();
 	}
 
 	private static EntryMessage.Submit decodeSubmit(Protocol.Submit submit) {
 		Optional<IdempotencyKey> key = submit.hasOnceKey() ? Optional.of(decode(submit.getOnceKey())) : Optional.empty();
 		try {
-			Work work = new Work(submit.getRequestId(), enumConstant(WorkKind.values(), submit.getKind()),
+			SidecarRequest request = new SidecarRequest(submit.getRequestId(), enumConstant(WorkKind.values(), submit.getKind()),
 					submit.getAccount(), submit.getModel(), submit.getMethod(), submit.getPath(),
 					submit.getBody().toByteArray(), submit.getPriority(), submit.getRepeatable(), key,
 					submit.getPromptTokens(), submit.getMaxTokens(), requireNonNegative(submit.getPatienceMillis()));
-			return new EntryMessage.Submit(decode(submit.getStream()), work,
+			return new EntryMessage.Submit(decode(submit.getStream()), request,
 					requireNonNegative(submit.getCreditLimit()));
 		}
 		catch (IllegalArgumentException ex) {
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
@@ -13,8 +13,8 @@
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.SidecarMessage;
+import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.Work;
 import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
@@ -106,15 +106,15 @@
 	void decodesEncodedEntryMessages(@ForAll long call, @ForAll @IntRange(min = 1) int attempt,
 			@ForAll @Size(max = 100) byte[] body, @ForAll boolean hasKey) {
 		Optional<IdempotencyKey> key = hasKey ? Optional.of(new IdempotencyKey("a", "k", call)) : Optional.empty();
-		Work work = new Work("r", WorkKind.CHAT, "a", "m", "POST", "/p", body, 3, !hasKey, key, 7, 9, 1_000);
-		EntryMessage.Submit submit = new EntryMessage.Submit(new StreamId(call, attempt), work, 12);
+		SidecarRequest request = new SidecarRequest("r", WorkKind.CHAT, "a", "m", "POST", "/p", body, 3, !hasKey, key, 7, 9, 1_000);
+		EntryMessage.Submit submit = new EntryMessage.Submit(new StreamId(call, attempt), request, 12);
 		EntryMessage.Submit decoded = (EntryMessage.Submit) FrameCodec
 			.decodeEntryMessage(FrameCodec.encode((EntryMessage) submit))
 			.orElseThrow();
 		assertThat(decoded.stream()).isEqualTo(submit.stream());
 		assertThat(decoded.work().body()).isEqualTo(body);
-		assertThat(decoded.work().onceKey()).isEqualTo(key);
-		assertThat(decoded.work().patienceMillis()).isEqualTo(1_000);
+		assertThat(decoded.work().idempotencyKey()).isEqualTo(key);
+		assertThat(decoded.work().callerTimeoutMillis()).isEqualTo(1_000);
 		for (EntryMessage message : List.of(new EntryMessage.Attach(new StreamId(call, attempt), "g", call, 5, 6),
 				new EntryMessage.Revoke(new StreamId(call, attempt), "n", "g", call),
 				new EntryMessage.Release(new StreamId(call, attempt), hasKey),
