--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCluster.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCluster.java
@@ -14,9 +14,9 @@
 import dev.laneworks.core.configuration.Intent;
 import dev.laneworks.core.configuration.SpillRule;
 import dev.laneworks.core.message.IdempotencyKey;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarRequest;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.stream.StreamPosition;
 
 /**
@@ -243,7 +243,7 @@
 		this.oracle.recordCall(call);
 		this.entriesByCall.put(call, entry);
 		byte[] body = String.valueOf(tokens).getBytes(StandardCharsets.UTF_8);
-		SidecarRequest work = new SidecarRequest(requestId, WorkKind.COMPLETION, ACCOUNT, MODEL, "POST", "/", body, priority, repeatable,
+		SidecarRequest work = new SidecarRequest(requestId, OperationKind.COMPLETION, ACCOUNT, MODEL, "POST", "/", body, priority, repeatable,
 				key, 1, 100_000, FIRST_TOKEN_TIMEOUT_MILLIS);
 		CallRequest request = new CallRequest(work, INTENT, 0, ticketTarget, true);
 		entry.run(() -> entry.open(call, request));
@@ -292,7 +292,7 @@
 		call.reconnect();
 		FakeEntry entry = this.entries[wrapIndex(entryIndex, ENTRIES)];
 		this.entriesByCall.put(call, entry);
-		SidecarRequest work = new SidecarRequest("back", WorkKind.COMPLETION, ACCOUNT, "", "", "", new byte[0], 0, false, Optional.empty(),
+		SidecarRequest work = new SidecarRequest("back", OperationKind.COMPLETION, ACCOUNT, "", "", "", new byte[0], 0, false, Optional.empty(),
 				0, 1, 0);
 		CallRequest request = new CallRequest(work, INTENT, 0, Optional.empty(), true);
 		entry.run(() -> entry.resume(call, request, position.get()));
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
@@ -19,10 +19,10 @@
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.IdempotencyKey;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.once.KeyGuard;
 import dev.laneworks.core.once.ViewHistory;
 import dev.laneworks.core.routing.DefaultTargetSelector;
@@ -117,7 +117,7 @@
 		String target = route.get().target().name();
 		this.states.state(target).recordSent();
 		String model = this.encodeLength ? MODEL + arrival.length() : MODEL;
-		SidecarRequest request = new SidecarRequest(String.valueOf(number), WorkKind.COMPLETION, arrival.account(), model, "POST", "/",
+		SidecarRequest request = new SidecarRequest(String.valueOf(number), OperationKind.COMPLETION, arrival.account(), model, "POST", "/",
 				new byte[0], arrival.priority(), true, Optional.empty(), arrival.promptTokens(), 65_536,
 				arrival.timeoutMillis());
 		this.hosts[Integer.parseInt(target.substring(1))].onMessage(number,
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/SlopesCommand.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/SlopesCommand.java
@@ -19,8 +19,8 @@
 import dev.laneworks.core.message.ConfigurationMessage;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.LoadReport;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.SidecarMessage;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.once.ExpiringNames;
 import dev.laneworks.core.once.ViewHistory;
 import dev.laneworks.core.routing.DefaultTargetSelector;
@@ -285,7 +285,7 @@
 	 */
 	private record RunningGeneration(int promptTokens, int outputTokens) implements MemoryUser {
 
-		private static final LengthClass TYPE = new LengthClass("a", "m", WorkKind.COMPLETION);
+		private static final LengthClass TYPE = new LengthClass("a", "m", OperationKind.COMPLETION);
 
 		@Override
 		public LengthClass lengthClass() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/admission/LengthClass.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/admission/LengthClass.java
@@ -2,8 +2,8 @@
 
 import java.util.Objects;
 
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.SidecarRequest;
-import dev.laneworks.core.message.WorkKind;
 
 /**
  * Class of requests whose output lengths are learned together.
@@ -13,7 +13,7 @@
  * @param kind the kind of request
  * @since 0.1
  */
-public record LengthClass(String account, String model, WorkKind kind) {
+public record LengthClass(String account, String model, OperationKind kind) {
 
 	public LengthClass {
 		Objects.requireNonNull(account, "account must not be null");
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Generation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Generation.java
@@ -8,8 +8,8 @@
 import dev.laneworks.core.admission.MemoryUser;
 import dev.laneworks.core.admission.QueueEntry;
 import dev.laneworks.core.message.FinishReason;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.SidecarRequest;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.stream.ChunkLog;
 import dev.laneworks.core.verdict.Refusal;
 
@@ -70,7 +70,7 @@
 	// Create a generation that an earlier sidecar process started, of which only the
 	// name is known.
 	static Generation adopted(String name, long now) {
-		SidecarRequest request = new SidecarRequest(name, WorkKind.COMPLETION, "", "", "", "", new byte[0], 0, false, Optional.empty(), 0,
+		SidecarRequest request = new SidecarRequest(name, OperationKind.COMPLETION, "", "", "", "", new byte[0], 0, false, Optional.empty(), 0,
 				Integer.MAX_VALUE, 0);
 		Generation generation = new Generation(name, request, 1, GenerationState.RUNNING, now);
 		generation.startedAtTarget = true;
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/WorkKind.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/OperationKind.java
@@ -5,7 +5,7 @@
  *
  * @since 0.1
  */
-public enum WorkKind {
+public enum OperationKind {
 
 	/** Text completion with a stream of tokens as output. */
 	COMPLETION,
--- a/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/message/SidecarRequest.java
@@ -22,7 +22,7 @@
  * from now
  * @since 0.1
  */
-public record SidecarRequest(String requestId, WorkKind kind, String account, String model, String method, String path,
+public record SidecarRequest(String requestId, OperationKind kind, String account, String model, String method, String path,
 		byte[] body, int priority, boolean repeatable, Optional<IdempotencyKey> idempotencyKey, int promptTokens, int maxTokens,
 		long callerTimeoutMillis) {
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/admission/MemoryForecastTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/admission/MemoryForecastTests.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-import dev.laneworks.core.message.WorkKind;
+import dev.laneworks.core.message.OperationKind;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
@@ -18,7 +18,7 @@
  */
 class MemoryForecastTests {
 
-	private static final LengthClass TYPE = new LengthClass("a", "m", WorkKind.COMPLETION);
+	private static final LengthClass TYPE = new LengthClass("a", "m", OperationKind.COMPLETION);
 
 	private final LearnedLengthModel lengths = new LearnedLengthModel(64, 16);
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -13,11 +13,11 @@
 import dev.laneworks.core.configuration.TargetDescription;
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.retry.Backoff;
 import dev.laneworks.core.retry.RetryBudget;
 import dev.laneworks.core.routing.Route;
@@ -235,7 +235,7 @@
 	}
 
 	private void open(boolean repeatable) {
-		SidecarRequest request = new SidecarRequest("request", WorkKind.COMPLETION, "a", "m", "POST", "/", new byte[0], 1, repeatable,
+		SidecarRequest request = new SidecarRequest("request", OperationKind.COMPLETION, "a", "m", "POST", "/", new byte[0], 1, repeatable,
 				Optional.empty(), 1, 100, 10_000);
 		Intent intent = new Intent("*", "m", "", "1", 1, List.of(), SpillRule.ANY, true);
 		this.coordinator.open(1, new CallRequest(request, intent, 0, Optional.empty(), false), 0);
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -10,11 +10,11 @@
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.IdempotencyKey;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.once.KeyGuard;
 import dev.laneworks.core.once.ViewHistory;
 import dev.laneworks.core.verdict.RefusalReason;
@@ -305,13 +305,13 @@
 	}
 
 	private void submitKeyed(long call, IdempotencyKey key, long now) {
-		SidecarRequest request = new SidecarRequest("keyed" + call, WorkKind.COMPLETION, "a", "m", "POST", "/", new byte[0], 1, false,
+		SidecarRequest request = new SidecarRequest("keyed" + call, OperationKind.COMPLETION, "a", "m", "POST", "/", new byte[0], 1, false,
 				Optional.of(key), 1, 100, 10_000);
 		this.host.onMessage(LINK, new EntryMessage.Submit(new StreamId(call, 1), request, 9), now);
 	}
 
 	private static EntryMessage.Submit submission(long call, String request, int priority, int promptTokens) {
-		SidecarRequest work = new SidecarRequest(request, WorkKind.COMPLETION, "a", "m", "POST", "/", new byte[0], priority, true,
+		SidecarRequest work = new SidecarRequest(request, OperationKind.COMPLETION, "a", "m", "POST", "/", new byte[0], priority, true,
 				Optional.empty(), promptTokens, 50, 10_000);
 		return new EntryMessage.Submit(new StreamId(call, 1), work, 99);
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -11,7 +11,7 @@
 import dev.laneworks.core.call.CallRequest;
 import dev.laneworks.core.configuration.AccountDescription;
 import dev.laneworks.core.configuration.FleetConfiguration;
-import dev.laneworks.core.message.WorkKind;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.stream.RequestTicket;
 import dev.laneworks.core.stream.StreamPosition;
 import dev.laneworks.core.stream.TokenSealer;
@@ -128,8 +128,8 @@
 		return Handlers.path()
 			.addExactPath("/livez", (e) -> e.getResponseSender().send("live\n"))
 			.addExactPath("/readyz", this::readyz)
-			.addExactPath("/v1/completions", allowOnly("POST", (e) -> generation(e, WorkKind.COMPLETION)))
-			.addExactPath("/v1/chat/completions", allowOnly("POST", (e) -> generation(e, WorkKind.CHAT)))
+			.addExactPath("/v1/completions", allowOnly("POST", (e) -> generation(e, OperationKind.COMPLETION)))
+			.addExactPath("/v1/chat/completions", allowOnly("POST", (e) -> generation(e, OperationKind.CHAT)))
 			.addExactPath("/v1/streams", allowOnly("GET", this::resumeStream))
 			.addExactPath("/v1/tickets", allowOnly("POST", this::ticket))
 			.addExactPath("/v1/models", allowOnly("GET", this::models))
@@ -143,7 +143,7 @@
 		exchange.getResponseSender().send(isReady ? "ready\n" : "not ready\n");
 	}
 
-	private void generation(HttpServerExchange exchange, WorkKind kind) {
+	private void generation(HttpServerExchange exchange, OperationKind kind) {
 		if (exchange.getRequestHeaders().contains(LAST_EVENT_ID)) {
 			resumeStream(exchange);
 			return;
@@ -183,7 +183,7 @@
 				return;
 			}
 			CallRequest request = RequestReader.resumedRequest(a.name());
-			WorkKind kind = exchange.getRequestPath().contains("chat") ? WorkKind.CHAT : WorkKind.COMPLETION;
+			OperationKind kind = exchange.getRequestPath().contains("chat") ? OperationKind.CHAT : OperationKind.COMPLETION;
 			CompletionJson json = new CompletionJson(kind, position.get().generation(), "",
 					System.currentTimeMillis() / 1000);
 			long call = this.calls.nextCallNumber();
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CompletionJson.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CompletionJson.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dev.laneworks.core.message.FinishReason;
-import dev.laneworks.core.message.WorkKind;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.runtime.http.JsonText;
 
 /**
@@ -13,7 +13,7 @@
  */
 final class CompletionJson {
 
-	private final WorkKind kind;
+	private final OperationKind kind;
 
 	private final String chunkPrefix;
 
@@ -23,7 +23,7 @@
 
 	private final long createdSeconds;
 
-	CompletionJson(WorkKind kind, String id, String model, long createdSeconds) {
+	CompletionJson(OperationKind kind, String id, String model, long createdSeconds) {
 		this.kind = kind;
 		this.id = id;
 		this.model = model;
@@ -35,17 +35,17 @@
 
 	String chunk(long offset, byte[] data) {
 		StringBuilder json = new StringBuilder(this.chunkPrefix.length() + data.length + 64).append(this.chunkPrefix);
-		json.append((this.kind != WorkKind.CHAT) ? "\"text\":\""
+		json.append((this.kind != OperationKind.CHAT) ? "\"text\":\""
 				: ((offset != 0) ? "\"delta\":{\"content\":\"" : "\"delta\":{\"role\":\"assistant\",\"content\":\""));
 		JsonStringEncoder.getInstance().quoteAsString(new String(data, StandardCharsets.UTF_8), json);
-		json.append((this.kind != WorkKind.CHAT) ? "\",\"finish_reason\":null}]}" : "\"},\"finish_reason\":null}]}");
+		json.append((this.kind != OperationKind.CHAT) ? "\",\"finish_reason\":null}]}" : "\"},\"finish_reason\":null}]}");
 		return json.toString();
 	}
 
 	// The last event carries the token count, so that a caller can detect a truncated
 	// response.
 	String last(long total, FinishReason reason) {
-		String emptyOutput = (this.kind != WorkKind.CHAT) ? "\"text\":\"\"" : "\"delta\":{}";
+		String emptyOutput = (this.kind != OperationKind.CHAT) ? "\"text\":\"\"" : "\"delta\":{}";
 		return this.chunkPrefix + emptyOutput + ",\"finish_reason\":\"" + reason.label()
 				+ "\"}],\"usage\":{\"completion_tokens\":" + total + "}}";
 	}
@@ -54,7 +54,7 @@
 		ObjectNode json = base(false);
 		ObjectNode choice = json.putArray("choices").addObject();
 		choice.put("index", 0);
-		if (this.kind != WorkKind.CHAT) {
+		if (this.kind != OperationKind.CHAT) {
 			choice.put("text", output);
 		}
 		else {
@@ -69,7 +69,7 @@
 	}
 
 	private ObjectNode base(boolean chunk) {
-		String object = (this.kind != WorkKind.CHAT) ? "text_completion"
+		String object = (this.kind != OperationKind.CHAT) ? "text_completion"
 				: (chunk ? "chat.completion.chunk" : "chat.completion");
 		return JsonText.object()
 			.put("id", this.id)
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -19,8 +19,8 @@
 import dev.laneworks.core.configuration.ServiceDescription;
 import dev.laneworks.core.configuration.SpillRule;
 import dev.laneworks.core.message.IdempotencyKey;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.SidecarRequest;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.routing.Rendezvous;
 import dev.laneworks.core.stream.RequestTicket;
 import dev.laneworks.core.stream.TokenSealer;
@@ -81,7 +81,7 @@
 			.orElseGet(() -> Either.left(Refusal.never(RefusalReason.UNKNOWN_ACCOUNT, "the API key is not known")));
 	}
 
-	Either<Refusal, GenerationRequest> generation(HttpServerExchange exchange, byte[] body, WorkKind kind,
+	Either<Refusal, GenerationRequest> generation(HttpServerExchange exchange, byte[] body, OperationKind kind,
 			AccountDescription account, FleetConfiguration configuration) {
 		JsonNode json;
 		try {
@@ -97,7 +97,7 @@
 		if (model.isEmpty()) {
 			return badRequest("the member 'model' is missing");
 		}
-		String input = (kind == WorkKind.CHAT) ? "messages" : "prompt";
+		String input = (kind == OperationKind.CHAT) ? "messages" : "prompt";
 		if (!object.has(input)) {
 			return badRequest("the member '" + input + "' is missing");
 		}
@@ -111,10 +111,10 @@
 				.left(Refusal.never(RefusalReason.UNKNOWN_MODEL, "the account may use no model named '" + model + "'"));
 		}
 		boolean stream = object.path("stream").asBoolean(false);
-		String prompt = (kind == WorkKind.CHAT) ? object.path(input).toString() : object.path(input).asText();
+		String prompt = (kind == OperationKind.CHAT) ? object.path(input).toString() : object.path(input).asText();
 		object.put("stream", true);
 		byte[] targetBody = object.toString().getBytes(StandardCharsets.UTF_8);
-		String path = (kind == WorkKind.CHAT) ? "/v1/chat/completions" : "/v1/completions";
+		String path = (kind == OperationKind.CHAT) ? "/v1/chat/completions" : "/v1/completions";
 		return readIdempotency(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
 			boolean repeatable = o.key().isEmpty() && intent.get().repeatable();
 			SidecarRequest work = new SidecarRequest(createRequestId(), kind, account.name(), model, "POST", path, targetBody,
@@ -137,14 +137,14 @@
 		String query = exchange.getQueryString().isEmpty() ? "" : '?' + exchange.getQueryString();
 		return readIdempotency(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
 			boolean repeatable = o.key().isEmpty() && service.get().isRepeatable(method, path);
-			SidecarRequest request = new SidecarRequest(createRequestId(), WorkKind.SERVICE, account.name(), name, method, path + query, body,
+			SidecarRequest request = new SidecarRequest(createRequestId(), OperationKind.SERVICE, account.name(), name, method, path + query, body,
 					intent.get().priority(), repeatable, o.key(), 0, 1, p);
 			return new CallRequest(request, intent.get(), 0, o.ticketTarget(), false);
 		}));
 	}
 
 	static CallRequest resumedRequest(String account) {
-		SidecarRequest request = new SidecarRequest(createRequestId(), WorkKind.COMPLETION, account, "", "", "", new byte[0], 0, false,
+		SidecarRequest request = new SidecarRequest(createRequestId(), OperationKind.COMPLETION, account, "", "", "", new byte[0], 0, false,
 				Optional.empty(), 0, 1, 0);
 		Intent intent = new Intent(account, "", "", "", 0, List.of(), SpillRule.NONE, false);
 		return new CallRequest(request, intent, 0, Optional.empty(), true);
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
@@ -8,9 +8,9 @@
 
 import dev.laneworks.core.host.TargetLoss;
 import dev.laneworks.core.message.FinishReason;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.ServiceReply;
 import dev.laneworks.core.message.SidecarRequest;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.runtime.http.HttpCall;
 import dev.laneworks.runtime.http.HttpCaller;
 import dev.laneworks.runtime.http.HttpExchange;
@@ -58,7 +58,7 @@
 
 	@Override
 	public void start(String generation, SidecarRequest request) {
-		if (request.kind() == WorkKind.SERVICE) {
+		if (request.kind() == OperationKind.SERVICE) {
 			startService(generation, request);
 			return;
 		}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -10,11 +10,11 @@
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.IdempotencyKey;
 import dev.laneworks.core.message.LoadReport;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.RevocationOutcome;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
 import dev.laneworks.core.verdict.Verdict;
@@ -299,7 +299,7 @@
 	private static EntryMessage.Submit decodeSubmit(Protocol.Submit submit) {
 		Optional<IdempotencyKey> key = submit.hasOnceKey() ? Optional.of(decode(submit.getOnceKey())) : Optional.empty();
 		try {
-			SidecarRequest request = new SidecarRequest(submit.getRequestId(), enumConstant(WorkKind.values(), submit.getKind()),
+			SidecarRequest request = new SidecarRequest(submit.getRequestId(), enumConstant(OperationKind.values(), submit.getKind()),
 					submit.getAccount(), submit.getModel(), submit.getMethod(), submit.getPath(),
 					submit.getBody().toByteArray(), submit.getPriority(), submit.getRepeatable(), key,
 					submit.getPromptTokens(), submit.getMaxTokens(), requireNonNegative(submit.getPatienceMillis()));
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/FramingTests.java
@@ -12,10 +12,10 @@
 import dev.laneworks.core.message.EntryMessage;
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.message.IdempotencyKey;
+import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.SidecarMessage;
 import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.message.StreamId;
-import dev.laneworks.core.message.WorkKind;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
 import dev.laneworks.wire.proto.Protocol;
@@ -106,7 +106,7 @@
 	void decodesEncodedEntryMessages(@ForAll long call, @ForAll @IntRange(min = 1) int attempt,
 			@ForAll @Size(max = 100) byte[] body, @ForAll boolean hasKey) {
 		Optional<IdempotencyKey> key = hasKey ? Optional.of(new IdempotencyKey("a", "k", call)) : Optional.empty();
-		SidecarRequest request = new SidecarRequest("r", WorkKind.CHAT, "a", "m", "POST", "/p", body, 3, !hasKey, key, 7, 9, 1_000);
+		SidecarRequest request = new SidecarRequest("r", OperationKind.CHAT, "a", "m", "POST", "/p", body, 3, !hasKey, key, 7, 9, 1_000);
 		EntryMessage.Submit submit = new EntryMessage.Submit(new StreamId(call, attempt), request, 12);
 		EntryMessage.Submit decoded = (EntryMessage.Submit) FrameCodec
 			.decodeEntryMessage(FrameCodec.encode((EntryMessage) submit))
