--- a/laneworks-core/src/main/java/dev/laneworks/core/stream/TokenSealer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/stream/TokenSigner.java
@@ -19,7 +19,7 @@
  *
  * @since 0.1
  */
-public final class TokenSealer {
+public final class TokenSigner {
 
 	/** Minimum length of the secret, in bytes. */
 	public static final int MIN_SECRET_BYTES = 16;
@@ -43,7 +43,7 @@
 	 * @param secret the secret shared by all entries, at least {@value #MIN_SECRET_BYTES}
 	 * bytes
 	 */
-	public TokenSealer(byte[] secret) {
+	public TokenSigner(byte[] secret) {
 		if (secret.length < MIN_SECRET_BYTES) {
 			throw new IllegalArgumentException(
 					"secret must have at least " + MIN_SECRET_BYTES + " bytes but has " + secret.length);
@@ -62,7 +62,7 @@
 	 * @param position the position to encode
 	 * @return the token, which is safe in a header and in the identifier of an event
 	 */
-	public String sealPosition(StreamPosition position) {
+	public String signPosition(StreamPosition position) {
 		return sign(TokenType.POSITION, position.target(), Long.toHexString(position.incarnation()),
 				position.generation(), position.account(), Long.toString(position.offset()));
 	}
@@ -73,7 +73,7 @@
 	 * @return the position, or empty if the token was not signed with this secret or does
 	 * not encode a position
 	 */
-	public Optional<StreamPosition> openPosition(String token) {
+	public Optional<StreamPosition> verifyPosition(String token) {
 		return verify(TokenType.POSITION, token, POSITION_FIELDS).map((f) -> new StreamPosition(f[0],
 				Long.parseUnsignedLong(f[1], HEX_RADIX), f[2], f[3], Long.parseLong(f[4])));
 	}
@@ -83,7 +83,7 @@
 	 * @param ticket the ticket to encode
 	 * @return the token, which is safe in a header
 	 */
-	public String sealTicket(RequestTicket ticket) {
+	public String signTicket(RequestTicket ticket) {
 		return sign(TokenType.TICKET, ticket.target(), Long.toHexString(ticket.incarnation()), ticket.account(),
 				ticket.identity());
 	}
@@ -94,7 +94,7 @@
 	 * @return the ticket, or empty if the token was not signed with this secret or does
 	 * not encode a ticket
 	 */
-	public Optional<RequestTicket> openTicket(String token) {
+	public Optional<RequestTicket> verifyTicket(String token) {
 		return verify(TokenType.TICKET, token, TICKET_FIELDS)
 			.map((f) -> new RequestTicket(f[0], Long.parseUnsignedLong(f[1], HEX_RADIX), f[2], f[3]));
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntrySettings.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntrySettings.java
@@ -8,7 +8,7 @@
 
 import dev.laneworks.core.call.CallSettings;
 import dev.laneworks.core.document.DocumentObject;
-import dev.laneworks.core.stream.TokenSealer;
+import dev.laneworks.core.stream.TokenSigner;
 import dev.laneworks.entry.caller.CallerSettings;
 import dev.laneworks.runtime.program.Addresses;
 import dev.laneworks.runtime.program.CommonSettings;
@@ -63,8 +63,8 @@
 
 	private static byte[] secret(DocumentObject root) {
 		byte[] secret = root.text("secret").getBytes(StandardCharsets.UTF_8);
-		if (secret.length < TokenSealer.MIN_SECRET_BYTES) {
-			throw root.invalid("secret", "must have at least " + TokenSealer.MIN_SECRET_BYTES + " bytes");
+		if (secret.length < TokenSigner.MIN_SECRET_BYTES) {
+			throw root.invalid("secret", "must have at least " + TokenSigner.MIN_SECRET_BYTES + " bytes");
 		}
 		return secret;
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -14,7 +14,7 @@
 import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.stream.RequestTicket;
 import dev.laneworks.core.stream.StreamPosition;
-import dev.laneworks.core.stream.TokenSealer;
+import dev.laneworks.core.stream.TokenSigner;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
 import dev.laneworks.runtime.http.IoWorker;
@@ -175,7 +175,7 @@
 	private void resumeStream(HttpServerExchange exchange) {
 		withAccount(exchange, (c, a) -> {
 			String id = exchange.getRequestHeaders().getFirst(LAST_EVENT_ID);
-			Optional<StreamPosition> position = (id != null) ? new TokenSealer(this.secret).openPosition(id)
+			Optional<StreamPosition> position = (id != null) ? new TokenSigner(this.secret).verifyPosition(id)
 					: Optional.empty();
 			if (position.isEmpty() || !position.get().account().equals(a.name())) {
 				CallerProblem.send(exchange, Refusal.never(RefusalReason.BAD_REQUEST,
@@ -230,7 +230,7 @@
 			exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
 			exchange.getResponseSender()
 				.send(JsonText.object()
-					.put("ticket", new TokenSealer(this.secret).sealTicket(ticket.get()))
+					.put("ticket", new TokenSigner(this.secret).signTicket(ticket.get()))
 					.toString());
 		}));
 	}
@@ -249,7 +249,7 @@
 	}
 
 	private StreamedResponse createStreamedResponse(HttpServerExchange exchange, CompletionJson json, long call) {
-		return new StreamedResponse(exchange, json, new TokenSealer(this.secret), this.times.start(),
+		return new StreamedResponse(exchange, json, new TokenSigner(this.secret), this.times.start(),
 				this.settings.stalledTimeout(), (o) -> this.calls.recordConsumed(call, o),
 				() -> this.calls.recordDisconnect(call));
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -23,7 +23,7 @@
 import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.core.routing.Rendezvous;
 import dev.laneworks.core.stream.RequestTicket;
-import dev.laneworks.core.stream.TokenSealer;
+import dev.laneworks.core.stream.TokenSigner;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
 import dev.laneworks.runtime.http.JsonText;
@@ -159,7 +159,7 @@
 		if (key.isBlank() || key.length() > MAX_KEY_LENGTH) {
 			return badRequest("the Idempotency-Key must have from 1 to " + MAX_KEY_LENGTH + " characters");
 		}
-		Optional<RequestTicket> ticket = new TokenSealer(this.secret).openTicket(key);
+		Optional<RequestTicket> ticket = new TokenSigner(this.secret).verifyTicket(key);
 		if (ticket.isEmpty()) {
 			return Either.right(new Idempotency(Optional.of(new IdempotencyKey(account.name(), key, IdempotencyKey.NO_TICKET)),
 					Optional.empty()));
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/StreamedResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/StreamedResponse.java
@@ -8,7 +8,7 @@
 
 import dev.laneworks.core.message.FinishReason;
 import dev.laneworks.core.stream.StreamPosition;
-import dev.laneworks.core.stream.TokenSealer;
+import dev.laneworks.core.stream.TokenSigner;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.runtime.http.EventStream;
 import io.undertow.server.HttpServerExchange;
@@ -33,7 +33,7 @@
 
 	private final CompletionJson json;
 
-	private final TokenSealer sealer;
+	private final TokenSigner signer;
 
 	private final CallTimes.Stopwatch stopwatch;
 
@@ -67,11 +67,11 @@
 	 */
 	private volatile boolean ended;
 
-	StreamedResponse(HttpServerExchange exchange, CompletionJson json, TokenSealer sealer,
+	StreamedResponse(HttpServerExchange exchange, CompletionJson json, TokenSigner signer,
 			CallTimes.Stopwatch stopwatch, Duration stalledTimeout, Consumer<Long> onConsumed, Runnable onDisconnect) {
 		this.exchange = exchange;
 		this.json = json;
-		this.sealer = sealer;
+		this.signer = signer;
 		this.stopwatch = stopwatch;
 		this.stalledTimeoutMillis = stalledTimeout.toMillis();
 		this.onConsumed = onConsumed;
@@ -88,7 +88,7 @@
 	public void deliver(long offset, byte[] data) {
 		this.stopwatch.token();
 		String event = this.json.chunk(offset, data);
-		String id = this.sealer.sealPosition(new StreamPosition(this.start.target(), this.start.incarnation(),
+		String id = this.signer.signPosition(new StreamPosition(this.start.target(), this.start.incarnation(),
 				this.start.generation(), this.start.account(), offset + 1));
 		this.submittedOffset = offset + 1;
 		emit((s) -> s.send(id, event, () -> onWritten(offset + 1)));
