--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/LeavingInquiry.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
@@ -25,7 +25,7 @@
  *
  * @since 0.2
  */
-public final class LeavingInquiry {
+public final class DrainingQuery {
 
 	/** Shorter than the shortest reclaim notice, so that moves can still complete. */
 	private static final long QUERY_INTERVAL_MILLIS = 300;
@@ -53,7 +53,7 @@
 	 * @param outputs sends the queries and receives the results
 	 * @param timers schedules the queries
 	 */
-	public LeavingInquiry(LongPredicate isListUnavailable, Predicate<ListedTarget> isResponsible,
+	public DrainingQuery(LongPredicate isListUnavailable, Predicate<ListedTarget> isResponsible,
 			Supplier<List<ListedTarget>> engines, InquiryOutputs outputs, Timers timers) {
 		this.isListUnavailable = Objects.requireNonNull(isListUnavailable, "isListUnavailable must not be null");
 		this.isResponsible = Objects.requireNonNull(isResponsible, "isResponsible must not be null");
@@ -86,7 +86,7 @@
 	 * @param answer the engine's answer or the failure of the query
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	public void answered(ListedTarget engine, EngineAnswer answer, long now) {
+	public void handleAnswer(ListedTarget engine, EngineAnswer answer, long now) {
 		this.unanswered.remove(engine.incarnation());
 		switch (answer.outcome()) {
 			case LEAVES -> handleDraining(engine, answer, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/InquiryOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/InquiryOutputs.java
@@ -3,7 +3,7 @@
 import dev.laneworks.core.directory.ListedTarget;
 
 /**
- * Callbacks by which {@link LeavingInquiry} queries engines and reports results.
+ * Callbacks by which {@link DrainingQuery} queries engines and reports results.
  *
  * @since 0.2
  */
@@ -11,7 +11,7 @@
 
 	/**
 	 * Query an engine whether it is draining. Every query must be answered by a call of
-	 * {@link LeavingInquiry#answered}, also after a failure.
+	 * {@link DrainingQuery#handleAnswer}, also after a failure.
 	 * @param engine the list entry of the engine
 	 */
 	void ask(ListedTarget engine);
--- a/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
@@ -14,7 +14,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link LeavingInquiry}. They guard against missed reclaim notices and against
+ * Tests for {@link DrainingQuery}. They guard against missed reclaim notices and against
  * answers applied to the wrong incarnation.
  */
 class LeavingInquiryTests {
@@ -29,21 +29,21 @@
 
 	private final Set<String> responsibleFor = new HashSet<>(Set.of("a", "b"));
 
-	private final LeavingInquiry inquiry = new LeavingInquiry((t) -> this.listUnavailable,
+	private final DrainingQuery query = new DrainingQuery((t) -> this.listUnavailable,
 			(e) -> this.responsibleFor.contains(e.id()), () -> this.engines, new Recorder(), this.timers);
 
 	@Test
 	void queriesEnginesPeriodicallyWhileTheListIsUnavailable() {
-		this.inquiry.start(0);
+		this.query.start(0);
 		assertThat(this.calls).isEmpty();
 		this.listUnavailable = true;
 		this.timers.run(300);
 		assertThat(this.calls).containsExactly("ask a", "ask b").inOrder();
-		this.inquiry.answered(engine("a"), EngineAnswer.of(Outcome.STAYS), 310);
+		this.query.handleAnswer(engine("a"), EngineAnswer.of(Outcome.STAYS), 310);
 		this.timers.run(600);
 		assertThat(this.calls).containsExactly("ask a", "ask b", "ask a").inOrder();
 		this.listUnavailable = false;
-		this.inquiry.answered(engine("b"), EngineAnswer.of(Outcome.UNKNOWN), 610);
+		this.query.handleAnswer(engine("b"), EngineAnswer.of(Outcome.UNKNOWN), 610);
 		this.timers.run(900);
 		assertThat(this.calls).hasSize(3);
 	}
@@ -52,20 +52,20 @@
 	void queriesOnlyEnginesItIsResponsibleFor() {
 		this.responsibleFor.remove("a");
 		this.listUnavailable = true;
-		this.inquiry.start(0);
+		this.query.start(0);
 		assertThat(this.calls).containsExactly("ask b");
 	}
 
 	@Test
 	void ignoresDrainingWithoutAStopTime() {
-		this.inquiry.answered(engine("a"), EngineAnswer.of(Outcome.LEAVES), 10);
+		this.query.handleAnswer(engine("a"), EngineAnswer.of(Outcome.LEAVES), 10);
 		assertThat(this.calls).isEmpty();
 	}
 
 	@Test
 	void reportsDrainingAndRefusedConnections() {
-		this.inquiry.answered(engine("a"), new EngineAnswer(Outcome.LEAVES, OptionalLong.of(900)), 10);
-		this.inquiry.answered(engine("b"), EngineAnswer.of(Outcome.REFUSED), 10);
+		this.query.handleAnswer(engine("a"), new EngineAnswer(Outcome.LEAVES, OptionalLong.of(900)), 10);
+		this.query.handleAnswer(engine("b"), EngineAnswer.of(Outcome.REFUSED), 10);
 		assertThat(this.calls).containsExactly("a leaves in 900", "b refused").inOrder();
 	}
 
@@ -73,9 +73,9 @@
 	void ignoresAnswersOfAnotherIncarnation() {
 		ListedTarget queried = engine("a").withStartMillis(OptionalLong.of(5));
 		OptionalLong soon = OptionalLong.of(900);
-		this.inquiry.answered(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(4)), 10);
+		this.query.handleAnswer(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(4)), 10);
 		assertThat(this.calls).isEmpty();
-		this.inquiry.answered(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(5)), 20);
+		this.query.handleAnswer(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(5)), 20);
 		assertThat(this.calls).containsExactly("a leaves in 900");
 	}
 
@@ -83,7 +83,7 @@
 	void queriesANewIncarnationBeforeTheFormerOneAnswers() {
 		this.engines.remove(1);
 		this.listUnavailable = true;
-		this.inquiry.start(0);
+		this.query.start(0);
 		this.engines.set(0, engine("a").withStartMillis(OptionalLong.of(5)));
 		this.timers.run(300);
 		assertThat(this.calls).containsExactly("ask a", "ask a");
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
@@ -8,9 +8,9 @@
 import dev.laneworks.core.directory.ListedTarget;
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.dispatch.TargetEstimates;
+import dev.laneworks.core.inquiry.DrainingQuery;
 import dev.laneworks.core.inquiry.EngineAnswer;
 import dev.laneworks.core.inquiry.InquiryOutputs;
-import dev.laneworks.core.inquiry.LeavingInquiry;
 import dev.laneworks.core.serving.ServingPlan;
 
 /**
@@ -29,7 +29,7 @@
 
 	private final AuditSink audit;
 
-	private final LeavingInquiry inquiry;
+	private final DrainingQuery query;
 
 	EngineInquiry(StoreView store, PeerEntries peers, TargetEstimates estimates, EngineOrders engines, EventLoop loop,
 			AuditSink audit) {
@@ -38,13 +38,13 @@
 		this.engines = engines;
 		this.loop = loop;
 		this.audit = audit;
-		this.inquiry = new LeavingInquiry(store.follower()::isSilent, (e) -> peers.asksIn(e.dataCentre()),
+		this.query = new DrainingQuery(store.follower()::isSilent, (e) -> peers.asksIn(e.dataCentre()),
 				this::engines, this, loop.timers());
 		peers.onDraining(store.directory()::drainingReported);
 	}
 
 	void start(long now) {
-		this.inquiry.start(now);
+		this.query.start(now);
 	}
 
 	private List<ListedTarget> engines() {
@@ -63,7 +63,7 @@
 	@Override
 	public void ask(ListedTarget engine) {
 		this.engines.ask(engine, (a) -> {
-			this.inquiry.answered(engine, a, this.loop.now());
+			this.query.handleAnswer(engine, a, this.loop.now());
 			this.loop.runTimers();
 		});
 	}
