--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
@@ -36,7 +36,7 @@
 
 	private final Supplier<List<ListedTarget>> engines;
 
-	private final InquiryOutputs outputs;
+	private final DrainingQueryOutputs outputs;
 
 	private final Timers timers;
 
@@ -54,7 +54,7 @@
 	 * @param timers schedules the queries
 	 */
 	public DrainingQuery(LongPredicate isListUnavailable, Predicate<ListedTarget> isResponsible,
-			Supplier<List<ListedTarget>> engines, InquiryOutputs outputs, Timers timers) {
+			Supplier<List<ListedTarget>> engines, DrainingQueryOutputs outputs, Timers timers) {
 		this.isListUnavailable = Objects.requireNonNull(isListUnavailable, "isListUnavailable must not be null");
 		this.isResponsible = Objects.requireNonNull(isResponsible, "isResponsible must not be null");
 		this.engines = Objects.requireNonNull(engines, "engines must not be null");
@@ -76,13 +76,13 @@
 	// Sends no second query to an incarnation with an unanswered one.
 	private void query(ListedTarget engine) {
 		if (this.unanswered.add(engine.incarnation())) {
-			this.outputs.ask(engine);
+			this.outputs.query(engine);
 		}
 	}
 
 	/**
 	 * Handle the answer of an engine, also if the list has become available meanwhile.
-	 * @param engine the list entry of the engine, as passed to {@link InquiryOutputs#ask}
+	 * @param engine the list entry of the engine, as passed to {@link DrainingQueryOutputs#query}
 	 * @param answer the engine's answer or the failure of the query
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
@@ -90,7 +90,7 @@
 		this.unanswered.remove(engine.incarnation());
 		switch (answer.outcome()) {
 			case LEAVES -> handleDraining(engine, answer, now);
-			case REFUSED -> this.outputs.refused(engine, now);
+			case REFUSED -> this.outputs.connectionRefused(engine, now);
 			case STAYS, UNKNOWN -> {
 			}
 		}
@@ -105,7 +105,7 @@
 
 	private void handleDraining(ListedTarget engine, EngineAnswer answer, long now) {
 		if (answer.leavesMillis().isPresent() && isFromQueriedIncarnation(engine, answer)) {
-			this.outputs.leaves(engine, answer, now);
+			this.outputs.draining(engine, answer, now);
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/InquiryOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQueryOutputs.java
@@ -7,14 +7,14 @@
  *
  * @since 0.2
  */
-public interface InquiryOutputs {
+public interface DrainingQueryOutputs {
 
 	/**
 	 * Query an engine whether it is draining. Every query must be answered by a call of
 	 * {@link DrainingQuery#handleAnswer}, also after a failure.
 	 * @param engine the list entry of the engine
 	 */
-	void ask(ListedTarget engine);
+	void query(ListedTarget engine);
 
 	/**
 	 * Handle the report of an engine that it is draining.
@@ -22,13 +22,13 @@
 	 * @param answer the engine's answer, with the time until it stops
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void leaves(ListedTarget engine, EngineAnswer answer, long now);
+	void draining(ListedTarget engine, EngineAnswer answer, long now);
 
 	/**
 	 * Handle a refused connection to an engine's address.
 	 * @param engine the list entry of the engine
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
-	void refused(ListedTarget engine, long now);
+	void connectionRefused(ListedTarget engine, long now);
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
@@ -93,20 +93,20 @@
 		return new ListedTarget(id, "s", "10.0.0.1", 80, "dc", 4, false);
 	}
 
-	private final class Recorder implements InquiryOutputs {
+	private final class Recorder implements DrainingQueryOutputs {
 
 		@Override
-		public void ask(ListedTarget engine) {
+		public void query(ListedTarget engine) {
 			LeavingInquiryTests.this.calls.add("ask " + engine.id());
 		}
 
 		@Override
-		public void leaves(ListedTarget engine, EngineAnswer answer, long now) {
+		public void draining(ListedTarget engine, EngineAnswer answer, long now) {
 			LeavingInquiryTests.this.calls.add(engine.id() + " leaves in " + answer.leavesMillis().orElse(-1));
 		}
 
 		@Override
-		public void refused(ListedTarget engine, long now) {
+		public void connectionRefused(ListedTarget engine, long now) {
 			LeavingInquiryTests.this.calls.add(engine.id() + " refused");
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
@@ -9,15 +9,15 @@
 import dev.laneworks.core.directory.TargetDirectory;
 import dev.laneworks.core.dispatch.TargetEstimates;
 import dev.laneworks.core.inquiry.DrainingQuery;
+import dev.laneworks.core.inquiry.DrainingQueryOutputs;
 import dev.laneworks.core.inquiry.EngineAnswer;
-import dev.laneworks.core.inquiry.InquiryOutputs;
 import dev.laneworks.core.serving.ServingPlan;
 
 /**
  * Poll of the engines for draining while the store is silent, whose results are announced
  * to the other entries. Used on the I/O thread alone.
  */
-final class EngineInquiry implements InquiryOutputs {
+final class EngineInquiry implements DrainingQueryOutputs {
 
 	private final StoreView store;
 
@@ -61,7 +61,7 @@
 	}
 
 	@Override
-	public void ask(ListedTarget engine) {
+	public void query(ListedTarget engine) {
 		this.engines.ask(engine, (a) -> {
 			this.query.handleAnswer(engine, a, this.loop.now());
 			this.loop.runTimers();
@@ -69,7 +69,7 @@
 	}
 
 	@Override
-	public void leaves(ListedTarget engine, EngineAnswer answer, long now) {
+	public void draining(ListedTarget engine, EngineAnswer answer, long now) {
 		this.audit.record(AuditEvent.of(AuditKind.MEMBERSHIP, engine.id(), engine.id(),
 				"reports that it is leaving in " + answer.leavesMillis().orElse(0) + " ms"));
 		this.estimates.recordAnnouncedDraining(engine);
@@ -77,7 +77,7 @@
 	}
 
 	@Override
-	public void refused(ListedTarget engine, long now) {
+	public void connectionRefused(ListedTarget engine, long now) {
 		this.estimates.recordRefusedConnection(engine);
 	}
 
