--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
@@ -89,9 +89,9 @@
 	public void handleAnswer(ListedTarget engine, EngineAnswer answer, long now) {
 		this.unanswered.remove(engine.incarnation());
 		switch (answer.outcome()) {
-			case LEAVES -> handleDraining(engine, answer, now);
+			case DRAINING -> handleDraining(engine, answer, now);
 			case REFUSED -> this.outputs.connectionRefused(engine, now);
-			case STAYS, UNKNOWN -> {
+			case ACCEPTING, UNKNOWN -> {
 			}
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/EngineAnswer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/EngineAnswer.java
@@ -46,10 +46,10 @@
 	public enum Outcome {
 
 		/** The engine accepts requests. */
-		STAYS,
+		ACCEPTING,
 
 		/** The engine is draining. */
-		LEAVES,
+		DRAINING,
 
 		/** The engine's host refused the connection because no process listens there. */
 		REFUSED,
--- a/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
@@ -39,7 +39,7 @@
 		this.listUnavailable = true;
 		this.timers.run(300);
 		assertThat(this.calls).containsExactly("ask a", "ask b").inOrder();
-		this.query.handleAnswer(engine("a"), EngineAnswer.of(Outcome.STAYS), 310);
+		this.query.handleAnswer(engine("a"), EngineAnswer.of(Outcome.ACCEPTING), 310);
 		this.timers.run(600);
 		assertThat(this.calls).containsExactly("ask a", "ask b", "ask a").inOrder();
 		this.listUnavailable = false;
@@ -58,13 +58,13 @@
 
 	@Test
 	void ignoresDrainingWithoutAStopTime() {
-		this.query.handleAnswer(engine("a"), EngineAnswer.of(Outcome.LEAVES), 10);
+		this.query.handleAnswer(engine("a"), EngineAnswer.of(Outcome.DRAINING), 10);
 		assertThat(this.calls).isEmpty();
 	}
 
 	@Test
 	void reportsDrainingAndRefusedConnections() {
-		this.query.handleAnswer(engine("a"), new EngineAnswer(Outcome.LEAVES, OptionalLong.of(900)), 10);
+		this.query.handleAnswer(engine("a"), new EngineAnswer(Outcome.DRAINING, OptionalLong.of(900)), 10);
 		this.query.handleAnswer(engine("b"), EngineAnswer.of(Outcome.REFUSED), 10);
 		assertThat(this.calls).containsExactly("a leaves in 900", "b refused").inOrder();
 	}
@@ -73,9 +73,9 @@
 	void ignoresAnswersOfAnotherIncarnation() {
 		ListedTarget queried = engine("a").withStartMillis(OptionalLong.of(5));
 		OptionalLong soon = OptionalLong.of(900);
-		this.query.handleAnswer(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(4)), 10);
+		this.query.handleAnswer(queried, new EngineAnswer(Outcome.DRAINING, soon, OptionalLong.of(4)), 10);
 		assertThat(this.calls).isEmpty();
-		this.query.handleAnswer(queried, new EngineAnswer(Outcome.LEAVES, soon, OptionalLong.of(5)), 20);
+		this.query.handleAnswer(queried, new EngineAnswer(Outcome.DRAINING, soon, OptionalLong.of(5)), 20);
 		assertThat(this.calls).containsExactly("a leaves in 900");
 	}
 
