--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
@@ -104,7 +104,7 @@
 	}
 
 	private void handleDraining(ListedTarget engine, EngineAnswer answer, long now) {
-		if (answer.leavesMillis().isPresent() && isFromQueriedIncarnation(engine, answer)) {
+		if (answer.stopsInMillis().isPresent() && isFromQueriedIncarnation(engine, answer)) {
 			this.outputs.draining(engine, answer, now);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/EngineAnswer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/EngineAnswer.java
@@ -7,17 +7,17 @@
  * Answer of an engine to the query whether it is draining.
  *
  * @param outcome the result of the query
- * @param leavesMillis the time until the engine stops, in milliseconds; empty if the
+ * @param stopsInMillis the time until the engine stops, in milliseconds; empty if the
  * engine does not report it
  * @param startMillis the start time of the answering incarnation, in milliseconds of the
  * engine's wall clock; empty if the engine does not report it
  * @since 0.2
  */
-public record EngineAnswer(Outcome outcome, OptionalLong leavesMillis, OptionalLong startMillis) {
+public record EngineAnswer(Outcome outcome, OptionalLong stopsInMillis, OptionalLong startMillis) {
 
 	public EngineAnswer {
 		Objects.requireNonNull(outcome, "outcome must not be null");
-		Objects.requireNonNull(leavesMillis, "leavesMillis must not be null");
+		Objects.requireNonNull(stopsInMillis, "stopsInMillis must not be null");
 		Objects.requireNonNull(startMillis, "startMillis must not be null");
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
@@ -102,7 +102,7 @@
 
 		@Override
 		public void draining(ListedTarget engine, EngineAnswer answer, long now) {
-			LeavingInquiryTests.this.calls.add(engine.id() + " leaves in " + answer.leavesMillis().orElse(-1));
+			LeavingInquiryTests.this.calls.add(engine.id() + " leaves in " + answer.stopsInMillis().orElse(-1));
 		}
 
 		@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
@@ -71,7 +71,7 @@
 	@Override
 	public void draining(ListedTarget engine, EngineAnswer answer, long now) {
 		this.audit.record(AuditEvent.of(AuditKind.MEMBERSHIP, engine.id(), engine.id(),
-				"reports that it is leaving in " + answer.leavesMillis().orElse(0) + " ms"));
+				"reports that it is leaving in " + answer.stopsInMillis().orElse(0) + " ms"));
 		this.estimates.recordAnnouncedDraining(engine);
 		this.store.directory().drainingReported(engine.incarnation());
 	}
