--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
@@ -112,7 +112,7 @@
 	void callerDisconnected(FakeCall call) {
 		this.connections.entrySet().stream().filter((e) -> e.getValue().call() == call).findFirst().ifPresent((e) -> {
 			this.connections.remove(e.getKey());
-			this.coordinator.onCallerLeft(e.getKey());
+			this.coordinator.onCallerDisconnected(e.getKey());
 		});
 	}
 
@@ -168,7 +168,7 @@
 	@Override
 	public void deliver(long call, long offset, byte[] data) {
 		findCall(call).ifPresent((c) -> c.receiveToken(offset, data));
-		this.time.schedule(CALLER_READ_DELAY_MILLIS, () -> run(() -> this.coordinator.onCallerRead(call, offset + 1)));
+		this.time.schedule(CALLER_READ_DELAY_MILLIS, () -> run(() -> this.coordinator.onCallerConsumed(call, offset + 1)));
 	}
 
 	@Override
@@ -194,7 +194,7 @@
 		}
 		this.highestVersion = configuration.version();
 		this.selector.use(configuration);
-		this.coordinator.use(configuration);
+		this.coordinator.applyConfiguration(configuration);
 		this.exchange.announce(this.time.now());
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -65,7 +65,7 @@
 	 * Apply a new configuration to calls from now on.
 	 * @param newConfiguration the configuration in force
 	 */
-	public void use(FleetConfiguration newConfiguration) {
+	public void applyConfiguration(FleetConfiguration newConfiguration) {
 		this.fixedTargets.use(newConfiguration);
 		this.context.sidecars().retainTargets(newConfiguration);
 	}
@@ -99,7 +99,7 @@
 	 * @param number the call's number; ignored if no such call is open
 	 * @param offset the first offset that the caller has not read
 	 */
-	public void onCallerRead(long number, long offset) {
+	public void onCallerConsumed(long number, long offset) {
 		this.context.calls().find(number).ifPresent((c) -> {
 			c.recordRead(offset);
 			this.messageHandler.grantCredit(c);
@@ -110,7 +110,7 @@
 	 * Handle a disconnected caller.
 	 * @param number the call's number; ignored if no such call is open
 	 */
-	public void onCallerLeft(long number) {
+	public void onCallerDisconnected(long number) {
 		this.context.calls().find(number).ifPresent((c) -> {
 			release(c);
 			this.terminator.close(c);
@@ -237,8 +237,8 @@
 	private void release(Call call) {
 		boolean reachable = this.context.sidecars().isUp(call.target());
 		if (reachable && call.phase() != CallPhase.CONNECTING && call.phase() != CallPhase.BACKING_OFF) {
-			boolean mayReturn = call.request().mayReturn() && call.hasOutputBeenSeen();
-			this.context.outputs().send(call.target(), new EntryMessage.Release(call.stream(), mayReturn));
+			boolean mayResume = call.request().mayReturn() && call.hasOutputBeenSeen();
+			this.context.outputs().send(call.target(), new EntryMessage.Release(call.stream(), mayResume));
 		}
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -211,7 +211,7 @@
 		}
 		this.coordinator.onLinkDown("t1", 10);
 		this.coordinator.onLinkUp("t1", 11, 20);
-		this.coordinator.onCallerRead(1, 8);
+		this.coordinator.onCallerConsumed(1, 8);
 		accept("t1", SECOND);
 		assertThat(this.outputs.lastSent()).isEqualTo(new EntryMessage.Credit(SECOND, 16));
 	}
@@ -220,7 +220,7 @@
 	void releasesTheGenerationWhenTheCallerDisconnects() {
 		open(true);
 		accept("t1", FIRST);
-		this.coordinator.onCallerLeft(1);
+		this.coordinator.onCallerDisconnected(1);
 		assertThat(this.outputs.lastSent()).isEqualTo(new EntryMessage.Release(FIRST, false));
 		assertThat(this.coordinator.openCalls()).isEqualTo(0);
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/DutyCallPort.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/DutyCallPort.java
@@ -85,7 +85,7 @@
 
 	@Override
 	public void recordConsumed(long call, long offset) {
-		this.duty.get().put((s) -> s.coordinator().onCallerRead(call, offset));
+		this.duty.get().put((s) -> s.coordinator().onCallerConsumed(call, offset));
 	}
 
 	@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
@@ -81,13 +81,13 @@
 
 	void onCallerDisconnected(long call) {
 		if (this.responses.remove(call) != null) {
-			this.coordinator.onCallerLeft(call);
+			this.coordinator.onCallerDisconnected(call);
 		}
 	}
 
 	void applyConfiguration(FleetConfiguration configuration) {
 		this.selector.use(configuration);
-		this.coordinator.use(configuration);
+		this.coordinator.applyConfiguration(configuration);
 		Map<String, InetSocketAddress> addresses = new HashMap<>();
 		configuration.targets().forEach((t) -> addresses.put(t.name(), new InetSocketAddress(t.host(), t.port())));
 		this.board.retain(addresses.keySet());
