--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -175,7 +175,7 @@
 			return;
 		}
 		if (!(message instanceof SidecarMessage.StreamMessage ofStream)) {
-			this.context.counters().strays().increment();
+			this.context.counters().droppedMessages().increment();
 			return;
 		}
 		StreamId stream = ofStream.stream();
@@ -183,7 +183,7 @@
 			.find(stream.call())
 			.filter((c) -> c.stream().equals(stream) && c.target().equals(target));
 		if (call.isEmpty()) {
-			this.context.counters().strays().increment();
+			this.context.counters().droppedMessages().increment();
 			return;
 		}
 		this.messageHandler.handle(call.get(), ofStream, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCounters.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCounters.java
@@ -19,7 +19,7 @@
 
 	private final LongAdder delivered = new LongAdder();
 
-	private final LongAdder strays = new LongAdder();
+	private final LongAdder droppedMessages = new LongAdder();
 
 	private final LongAdder reattached = new LongAdder();
 
@@ -68,8 +68,8 @@
 	 * order.
 	 * @return a live counter
 	 */
-	public LongAdder strays() {
-		return this.strays;
+	public LongAdder droppedMessages() {
+		return this.droppedMessages;
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/SidecarMessageHandler.java
@@ -72,7 +72,7 @@
 
 	private void handleAccepted(Call call) {
 		if (call.phase() != CallPhase.SUBMITTED && call.phase() != CallPhase.REATTACHING) {
-			this.context.counters().strays().increment();
+			this.context.counters().droppedMessages().increment();
 			return;
 		}
 		this.context.targets().reportSuccess(call.target());
@@ -86,11 +86,11 @@
 
 	private void handleChunk(Call call, SidecarMessage.Chunk chunk, long now) {
 		if (call.phase() != CallPhase.READING || chunk.offset() < call.nextOffset()) {
-			this.context.counters().strays().increment();
+			this.context.counters().droppedMessages().increment();
 			return;
 		}
 		if (chunk.offset() > call.nextOffset()) {
-			this.context.counters().strays().increment();
+			this.context.counters().droppedMessages().increment();
 			this.dispatcher.reattach(call, now);
 			return;
 		}
@@ -101,11 +101,11 @@
 
 	private void handleEnd(Call call, SidecarMessage.End end, long now) {
 		if (call.phase() != CallPhase.READING) {
-			this.context.counters().strays().increment();
+			this.context.counters().droppedMessages().increment();
 			return;
 		}
 		if (end.total() != call.nextOffset()) {
-			this.context.counters().strays().increment();
+			this.context.counters().droppedMessages().increment();
 			this.dispatcher.reattach(call, now);
 			return;
 		}
@@ -135,7 +135,7 @@
 
 	private void handleRevokeResult(Call call, RevocationOutcome outcome, long now) {
 		if (call.phase() != CallPhase.REVOKING) {
-			this.context.counters().strays().increment();
+			this.context.counters().droppedMessages().increment();
 			return;
 		}
 		switch (outcome) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -81,7 +81,7 @@
 		chunk("t1", SECOND, 0);
 		chunk("t1", new StreamId(2, 1), 0);
 		assertThat(this.outputs.events).containsExactly("accepted t1");
-		assertThat(this.coordinator.counters().strays().sum()).isEqualTo(3);
+		assertThat(this.coordinator.counters().droppedMessages().sum()).isEqualTo(3);
 	}
 
 	@Test
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -206,7 +206,7 @@
 		this.parts.gauge("laneworks_calls_refused", counters.refused()::sum);
 		this.parts.gauge("laneworks_retries", counters.retried()::sum);
 		this.parts.gauge("laneworks_tokens_delivered", counters.delivered()::sum);
-		this.parts.gauge("laneworks_stray_messages", counters.strays()::sum);
+		this.parts.gauge("laneworks_stray_messages", counters.droppedMessages()::sum);
 		this.parts.gauge("laneworks_reattached", counters.reattached()::sum);
 	}
 
