--- a/laneworks-core/src/main/java/dev/laneworks/core/call/AttemptDispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/AttemptDispatcher.java
@@ -73,7 +73,7 @@
 
 	// Prevents an unanswered attempt from being executed later.
 	void revoke(Call call, long now) {
-		call.enter(CallPhase.REVOKING, now + this.context.settings().barMillis());
+		call.enter(CallPhase.REVOKING, now + this.context.settings().revokeMillis());
 		sendRevocation(call);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallSettings.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallSettings.java
@@ -6,13 +6,13 @@
  * @param connectMillis the timeout of a connection, after which another target is tried
  * @param dispatchMillis the timeout of a sidecar's first answer, after which the attempt
  * is revoked
- * @param barMillis the timeout of a revocation, including the recovery of the link
+ * @param revokeMillis the timeout of a revocation, including the recovery of the link
  * @param reattachMillis the timeout of a reattachment to a generation
  * @param maxAttempts the maximum number of attempts for one request, at least 1
  * @param window the maximum number of output chunks in flight to a caller, at least 1
  * @since 0.1
  */
-public record CallSettings(long connectMillis, long dispatchMillis, long barMillis, long reattachMillis,
+public record CallSettings(long connectMillis, long dispatchMillis, long revokeMillis, long reattachMillis,
 		int maxAttempts, int window) {
 
 	public CallSettings {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntrySettings.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntrySettings.java
@@ -55,7 +55,7 @@
 	private static CallSettings calls(DocumentObject object) {
 		CallSettings defaults = CallSettings.defaults();
 		return new CallSettings(millis(object, "connect", defaults.connectMillis()),
-				millis(object, "dispatch", defaults.dispatchMillis()), millis(object, "bar", defaults.barMillis()),
+				millis(object, "dispatch", defaults.dispatchMillis()), millis(object, "bar", defaults.revokeMillis()),
 				millis(object, "recovery", defaults.reattachMillis()),
 				(int) object.integer("attempts", 1, 10, defaults.maxAttempts()),
 				(int) object.integer("window", 32, 100_000, defaults.window()));
