--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -237,7 +237,7 @@
 	private void release(Call call) {
 		boolean reachable = this.context.sidecars().isUp(call.target());
 		if (reachable && call.phase() != CallPhase.CONNECTING && call.phase() != CallPhase.BACKING_OFF) {
-			boolean mayResume = call.request().mayReturn() && call.hasOutputBeenSeen();
+			boolean mayResume = call.request().mayResume() && call.hasOutputBeenSeen();
 			this.context.outputs().send(call.target(), new EntryMessage.Release(call.stream(), mayResume));
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallRequest.java
@@ -13,10 +13,10 @@
  * @param intent the intent that the request falls under
  * @param prefixHash the hash of the beginning of the prompt, or 0
  * @param ticketTarget the target named by the caller's ticket, or empty without a ticket
- * @param mayReturn whether a disconnected caller may resume the output later
+ * @param mayResume whether a disconnected caller may resume the output later
  * @since 0.1
  */
-public record CallRequest(SidecarRequest work, Intent intent, long prefixHash, Optional<String> ticketTarget, boolean mayReturn) {
+public record CallRequest(SidecarRequest work, Intent intent, long prefixHash, Optional<String> ticketTarget, boolean mayResume) {
 
 	public CallRequest {
 		Objects.requireNonNull(work, "work must not be null");
