--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
@@ -82,7 +82,7 @@
 	}
 
 	long version() {
-		return this.exchange.keeper().ledger().version();
+		return this.exchange.keeper().configurationHolder().version();
 	}
 
 	boolean isOpen(FakeLink link) {
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -92,7 +92,7 @@
 	}
 
 	long version() {
-		return this.exchange.keeper().ledger().version();
+		return this.exchange.keeper().configurationHolder().version();
 	}
 
 	boolean isDrained() {
@@ -145,7 +145,7 @@
 		this.host.tick(now);
 		this.exchange.tick(now);
 		this.exchange.keeper()
-			.ledger()
+			.configurationHolder()
 			.current()
 			.ifPresent((c) -> this.views.forget(now - c.keyTimes().retentionMillis()));
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
@@ -60,8 +60,8 @@
 			handleNotice(notice, reply, now);
 		}
 		else if (message instanceof ConfigurationMessage.Request) {
-			long version = this.keeper.ledger().version();
-			this.keeper.ledger().text().ifPresent((t) -> reply.accept(new ConfigurationMessage.Document(version, t)));
+			long version = this.keeper.configurationHolder().version();
+			this.keeper.configurationHolder().text().ifPresent((t) -> reply.accept(new ConfigurationMessage.Document(version, t)));
 		}
 		else if (message instanceof ConfigurationMessage.Document text) {
 			this.keeper.onPeerDocument(peer, text.text(), now);
@@ -94,7 +94,7 @@
 	 * @return a notice with the version and the time since its confirmation
 	 */
 	public ConfigurationMessage.Notice notice(long now) {
-		ConfigurationHolder holder = this.keeper.ledger();
+		ConfigurationHolder holder = this.keeper.configurationHolder();
 		return new ConfigurationMessage.Notice(holder.version(), holder.confirmedAgeMillis(now));
 	}
 
@@ -107,7 +107,7 @@
 	}
 
 	private void handleNotice(ConfigurationMessage.Notice notice, Consumer<ConfigurationMessage> reply, long now) {
-		boolean newer = this.keeper.onPeerNotice(notice.version(), notice.confirmedAgeMillis(), now);
+		boolean newer = this.keeper.recordPeerVersion(notice.version(), notice.confirmedAgeMillis(), now);
 		boolean requested = notice.version() <= this.requestedVersion
 				&& now - this.requestedAt < REQUEST_TIMEOUT_MILLIS;
 		if (newer && !requested) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
@@ -24,7 +24,7 @@
  */
 public final class ConfigurationKeeper {
 
-	private final ConfigurationHolder ledger;
+	private final ConfigurationHolder configurationHolder;
 
 	private final ConfigurationService service;
 
@@ -65,7 +65,7 @@
 	public ConfigurationKeeper(ConfigurationHolder holder, ConfigurationService service, Backoff backoff,
 			long maxPeerAgeMillis, Consumer<Consumer<Long>> onDutyThread, Consumer<FleetConfiguration> onChange,
 			AuditSink audit) {
-		this.ledger = holder;
+		this.configurationHolder = holder;
 		this.service = service;
 		this.backoff = backoff;
 		this.maxPeerAgeMillis = maxPeerAgeMillis;
@@ -90,12 +90,12 @@
 		if (this.callInProgress || now < this.nextCallAt) {
 			return;
 		}
-		if (!this.watcher && this.ledger.confirmedAgeMillis(now) < this.maxPeerAgeMillis) {
+		if (!this.watcher && this.configurationHolder.confirmedAgeMillis(now) < this.maxPeerAgeMillis) {
 			return;
 		}
 		this.callInProgress = true;
 		this.serviceCalls++;
-		this.service.watch(this.ledger.version(), (r) -> this.onDutyThread.accept((t) -> handleAnswer(r, t)));
+		this.service.watch(this.configurationHolder.version(), (r) -> this.onDutyThread.accept((t) -> handleAnswer(r, t)));
 	}
 
 	/**
@@ -116,19 +116,19 @@
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return {@code true} if the peer's version is newer than the one in force
 	 */
-	public boolean onPeerNotice(long version, long confirmedAgeMillis, long now) {
+	public boolean recordPeerVersion(long version, long confirmedAgeMillis, long now) {
 		if (confirmedAgeMillis != ConfigurationHolder.NEVER_CONFIRMED) {
-			this.ledger.confirm(version, confirmedAgeMillis, now);
+			this.configurationHolder.confirm(version, confirmedAgeMillis, now);
 		}
-		return version > this.ledger.version();
+		return version > this.configurationHolder.version();
 	}
 
 	/**
 	 * Return the ledger with the configuration in force and its age.
 	 * @return the ledger passed to the constructor
 	 */
-	public ConfigurationHolder ledger() {
-		return this.ledger;
+	public ConfigurationHolder configurationHolder() {
+		return this.configurationHolder;
 	}
 
 	/**
@@ -167,11 +167,11 @@
 			offer("configuration service", published.text(), now);
 		}
 		// A stale service reports an older version, which confirms nothing.
-		this.ledger.confirm(published.version(), 0, now);
+		this.configurationHolder.confirm(published.version(), 0, now);
 	}
 
 	private void offer(String source, String text, long now) {
-		Either<InvalidDocumentException, ConfigurationHolder.Outcome> outcome = this.ledger.offer(source, text, now);
+		Either<InvalidDocumentException, ConfigurationHolder.Outcome> outcome = this.configurationHolder.offer(source, text, now);
 		if (outcome.isLeft()) {
 			recordRefusal(outcome.getLeft().getMessage());
 			return;
@@ -179,12 +179,12 @@
 		switch (outcome.get()) {
 			case ACCEPTED -> {
 				this.lastRefusal = "";
-				this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_ACCEPTED, "version " + this.ledger.version(),
+				this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_ACCEPTED, "version " + this.configurationHolder.version(),
 						"", "from " + source));
-				this.onChange.accept(this.ledger.current().orElseThrow());
+				this.onChange.accept(this.configurationHolder.current().orElseThrow());
 			}
 			case CONFLICT ->
-				recordRefusal(source + ": a different document has the same version " + this.ledger.version());
+				recordRefusal(source + ": a different document has the same version " + this.configurationHolder.version());
 			case SAME, OLDER -> {
 			}
 		}
@@ -193,7 +193,7 @@
 	private void recordRefusal(String fault) {
 		if (!fault.equals(this.lastRefusal)) {
 			this.lastRefusal = fault;
-			this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_REFUSED, "version above " + this.ledger.version(),
+			this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_REFUSED, "version above " + this.configurationHolder.version(),
 					"", fault));
 		}
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -180,7 +180,7 @@
 
 	private Object status(EntryState state) {
 		long now = MonotonicClock.millis();
-		ConfigurationHolder holder = state.keeper().ledger();
+		ConfigurationHolder holder = state.keeper().configurationHolder();
 		long age = holder.confirmedAgeMillis(now);
 		List<EntryStatus.TargetStatus> targets = state.selector()
 			.usedTargets()
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
@@ -200,7 +200,7 @@
 
 	private Object status(SidecarState state) {
 		long now = MonotonicClock.millis();
-		ConfigurationHolder holder = state.keeper().ledger();
+		ConfigurationHolder holder = state.keeper().configurationHolder();
 		return new SidecarStatus(this.settings.common().instance(), this.settings.common().dataCentre(),
 				Long.toHexString(this.incarnation), holder.version(), holder.digest(),
 				SidecarStatus.age(holder.confirmedAgeMillis(now)), state.keeper().lastRefusal(),
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
@@ -95,7 +95,7 @@
 		this.host.tick(now);
 		this.exchange.tick(now);
 		this.exchange.keeper()
-			.ledger()
+			.configurationHolder()
 			.current()
 			.ifPresent((c) -> this.views.forget(now - c.keyTimes().retentionMillis()));
 	}
