--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -244,7 +244,7 @@
 	}
 
 	private boolean isAllowed(CandidateFilter filter, ListedTarget target) {
-		return filter.regions().allow(Optional.ofNullable(this.regions.get(target.dataCentre())));
+		return filter.regions().contains(Optional.ofNullable(this.regions.get(target.dataCentre())));
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/AllowedRegions.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/AllowedRegions.java
@@ -41,7 +41,7 @@
 	 * @param other the other restriction
 	 * @return the regions allowed by both; no region if they have none in common
 	 */
-	public AllowedRegions and(AllowedRegions other) {
+	public AllowedRegions intersect(AllowedRegions other) {
 		if (this.names.isEmpty()) {
 			return other;
 		}
@@ -59,7 +59,7 @@
 	 * @return {@code true} if the region is allowed; an unknown region is allowed only
 	 * without a restriction
 	 */
-	public boolean allow(Optional<String> region) {
+	public boolean contains(Optional<String> region) {
 		return this.names.isEmpty() || region.filter(this.names.get()::contains).isPresent();
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EvacuationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/EvacuationTests.java
@@ -140,7 +140,7 @@
 	void servesRequestInRegionsOfRouteAndAccount() {
 		this.harness.join(DispatchHarness.PLAIN, "north");
 		this.harness.join(DispatchHarness.PLAIN, "south", "dc3");
-		this.harness.regions = AllowedRegions.of(List.of("south", "north")).and(AllowedRegions.of(List.of("south")));
+		this.harness.regions = AllowedRegions.of(List.of("south", "north")).intersect(AllowedRegions.of(List.of("south")));
 		for (long call = 1; call <= 10; call++) {
 			this.harness.open(call, RequestKind.SAFE, 2);
 		}
@@ -152,7 +152,7 @@
 	@Test
 	void refusesRequestWithoutAllowedRegion() {
 		this.harness.join(DispatchHarness.PLAIN, "north");
-		this.harness.regions = AllowedRegions.of(List.of("north")).and(AllowedRegions.of(List.of("south")));
+		this.harness.regions = AllowedRegions.of(List.of("north")).intersect(AllowedRegions.of(List.of("south")));
 		this.harness.open(1, RequestKind.SAFE, 2);
 		assertThat(this.harness.refusals.get(1L).detail()).contains("region");
 		assertThat(this.harness.refusals.get(1L).verdict()).isEqualTo(Verdict.NOT_RUN);
@@ -160,8 +160,8 @@
 
 	@Test
 	void dataCentreOfUnknownRegionServesOnlyUnrestrictedRequests() {
-		assertThat(AllowedRegions.of(List.of("north")).allow(Optional.empty())).isFalse();
-		assertThat(AllowedRegions.any().allow(Optional.empty())).isTrue();
+		assertThat(AllowedRegions.of(List.of("north")).contains(Optional.empty())).isFalse();
+		assertThat(AllowedRegions.any().contains(Optional.empty())).isTrue();
 		assertThat(AllowedRegions.of(List.of())).isEqualTo(AllowedRegions.any());
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
@@ -249,7 +249,7 @@
 		long remainingMillis = Math.max(1, waitMillis - (this.loop.now() - arrived));
 		String account = admitted.account().map(AccountGrant::account).orElse("");
 		AllowedRegions regions = admitted.account()
-			.map((a) -> a.regions().and(route.regions()))
+			.map((a) -> a.regions().intersect(route.regions()))
 			.orElse(route.regions());
 		DirectRequest direct = new DirectRequest(admitted.facts().id(), route,
 				route.serviceAt(this.random.nextDouble()), account, remainingMillis, regions, request.digest(account),
