--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -80,7 +80,7 @@
 
 	// Starts to copy a call from its engine if copies at the reclaim notice are enabled.
 	void startCopy(DirectCall call, long now) {
-		if (this.copiesAtNotice && this.engines.apply(call).filter(EngineSpec::moves).isPresent()) {
+		if (this.copiesAtNotice && this.engines.apply(call).filter(EngineSpec::supportsMoves).isPresent()) {
 			this.mover.start(call, now);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopies.java
@@ -112,7 +112,7 @@
 	 */
 	void schedule(DirectCall call, Attempt attempt, Optional<EngineSpec> engine, long now) {
 		boolean isLong = call.request().size().filter((w) -> !w.isShort()).isPresent();
-		if (this.enabled && isLong && engine.filter(EngineSpec::moves).isPresent()) {
+		if (this.enabled && isLong && engine.filter(EngineSpec::supportsMoves).isPresent()) {
 			scheduleRefresh(call, attempt, engine.get(), now + MIN_RUNNING_MILLIS);
 		}
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/EngineSpec.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/EngineSpec.java
@@ -9,14 +9,14 @@
  * @param linkMbps the bandwidth of an engine's link for copies, in megabits per second; 0
  * if unknown
  * @param tokensPerEvent the number of tokens in one event of a stream
- * @param moves whether a running generation can be copied on demand
- * @param backups whether a generation can be copied incrementally while it grows
- * @param holdMillis the longest time that memory can be reserved, in milliseconds; 0 if
+ * @param supportsMoves whether a running generation can be copied on demand
+ * @param supportsBackups whether a generation can be copied incrementally while it grows
+ * @param maxReservationMillis the longest time that memory can be reserved, in milliseconds; 0 if
  * engines do not support reservations
  * @since 0.2
  */
 public record EngineSpec(int slots, long memoryTokens, long tokenBytes, double linkMbps, int tokensPerEvent,
-		boolean moves, boolean backups, long holdMillis) {
+		boolean supportsMoves, boolean supportsBackups, long maxReservationMillis) {
 
 	private static final double BITS_PER_BYTE = 8;
 
@@ -37,7 +37,7 @@
 	 * @param tokens the number of tokens to copy
 	 * @return the duration in milliseconds, or 0 if the bandwidth is unknown
 	 */
-	public long copyMillis(long tokens) {
+	public long estimateCopyMillis(long tokens) {
 		if (this.linkMbps <= 0) {
 			return 0;
 		}
