--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/RouteSpec.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/RouteSpec.java
@@ -12,7 +12,7 @@
  * @param kind the kind of the requests, which determines whether they may be repeated
  * @param timeoutMillis the maximum duration of a request, in milliseconds; positive
  * @param goalMillis the response-time goal, in milliseconds
- * @param gapGoalMillis the goal for the longest pause between events, in milliseconds; 0
+ * @param eventIntervalGoalMillis the goal for the longest pause between events, in milliseconds; 0
  * if answers are not streams
  * @param priority the priority, 0 being the highest
  * @param maxAttempts the maximum number of targets that one request may run on
@@ -22,7 +22,7 @@
  * @since 0.2
  */
 public record RouteSpec(String name, String host, String prefix, RequestKind kind, long timeoutMillis, long goalMillis,
-		long gapGoalMillis, int priority, int maxAttempts, boolean open, List<WeightedService> services,
+		long eventIntervalGoalMillis, int priority, int maxAttempts, boolean open, List<WeightedService> services,
 		AllowedRegions regions) {
 
 	public RouteSpec {
@@ -47,7 +47,7 @@
 	 */
 	public RouteSpec withPriority(int newPriority) {
 		return new RouteSpec(this.name, this.host, this.prefix, this.kind, this.timeoutMillis, this.goalMillis,
-				this.gapGoalMillis, newPriority, this.maxAttempts, this.open, this.services, this.regions);
+				this.eventIntervalGoalMillis, newPriority, this.maxAttempts, this.open, this.services, this.regions);
 	}
 
 	/**
@@ -56,7 +56,7 @@
 	 * to 1 (exclusive)
 	 * @return the service's name; the first service if all weights are 0
 	 */
-	public String serviceAt(double position) {
+	public String selectService(double position) {
 		double total = this.services.stream().mapToDouble(WeightedService::weight).sum();
 		double remainingWeight = position * total;
 		for (WeightedService candidate : this.services) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/serving/ServingPlanTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/serving/ServingPlanTests.java
@@ -43,17 +43,17 @@
 		RouteSpec route = new RouteSpec("r", "h", "/", RequestKind.SAFE, 1_000, 100, 0, 0, 1, false,
 				List.of(new WeightedService("a", 90), new WeightedService("b", 10), new WeightedService("none", 0)),
 				AllowedRegions.any());
-		assertThat(route.serviceAt(0)).isEqualTo("a");
-		assertThat(route.serviceAt(0.899)).isEqualTo("a");
-		assertThat(route.serviceAt(0.901)).isEqualTo("b");
-		assertThat(route.serviceAt(0.9999)).isEqualTo("b");
+		assertThat(route.selectService(0)).isEqualTo("a");
+		assertThat(route.selectService(0.899)).isEqualTo("a");
+		assertThat(route.selectService(0.901)).isEqualTo("b");
+		assertThat(route.selectService(0.9999)).isEqualTo("b");
 	}
 
 	@Test
 	void selectsTheFirstServiceIfAllWeightsAreZero() {
 		RouteSpec route = new RouteSpec("r", "h", "/", RequestKind.SAFE, 1_000, 100, 0, 0, 1, false,
 				List.of(new WeightedService("a", 0), new WeightedService("b", 0)), AllowedRegions.any());
-		assertThat(route.serviceAt(0.5)).isEqualTo("a");
+		assertThat(route.selectService(0.5)).isEqualTo("a");
 	}
 
 	private static ServingPlan plan(List<RouteSpec> routes) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
@@ -252,7 +252,7 @@
 			.map((a) -> a.regions().intersect(route.regions()))
 			.orElse(route.regions());
 		DirectRequest direct = new DirectRequest(admitted.facts().id(), route,
-				route.serviceAt(this.random.nextDouble()), account, remainingMillis, regions, request.digest(account),
+				route.selectService(this.random.nextDouble()), account, remainingMillis, regions, request.digest(account),
 				admitted.facts().work());
 		this.unfinishedAnswers++;
 		request.exchange().addExchangeCompleteListener((e, next) -> {
