--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/ServiceSpec.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/ServiceSpec.java
@@ -9,12 +9,12 @@
  * @param name the service's name
  * @param maxConnections the maximum number of connections that one target accepts from
  * all entries together
- * @param coldPerSecond the requests per second that one target supports while it is cold;
+ * @param coldRequestsPerSecond the requests per second that one target supports while it is cold;
  * 0 if unknown
  * @param engine the capabilities of its engines; empty for a plain service
  * @since 0.2
  */
-public record ServiceSpec(String name, int maxConnections, double coldPerSecond, Optional<EngineSpec> engine) {
+public record ServiceSpec(String name, int maxConnections, double coldRequestsPerSecond, Optional<EngineSpec> engine) {
 
 	public ServiceSpec {
 		Objects.requireNonNull(name, "name must not be null");
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -439,7 +439,7 @@
 		return this.store.published()
 			.plan()
 			.flatMap((p) -> p.service(service))
-			.map(ServiceSpec::coldPerSecond)
+			.map(ServiceSpec::coldRequestsPerSecond)
 			.orElse(0.0);
 	}
 
