--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -527,7 +527,7 @@
 	}
 
 	private Optional<EngineSpec> engine(DirectCall call) {
-		return this.plan.flatMap((p) -> p.service(call.request().service())).flatMap(ServiceSpec::engine);
+		return this.plan.flatMap((p) -> p.findService(call.request().service())).flatMap(ServiceSpec::engine);
 	}
 
 	private void handleDeadline(DirectCall call, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/serving/ServingPlan.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/serving/ServingPlan.java
@@ -72,7 +72,7 @@
 	 * @param path the path, without the query
 	 * @return the route, or empty if none matches
 	 */
-	public Optional<RouteSpec> route(String host, String path) {
+	public Optional<RouteSpec> findRoute(String host, String path) {
 		return this.routesByHost.getOrDefault(host, List.of())
 			.stream()
 			.filter((r) -> path.startsWith(r.prefix()))
@@ -84,7 +84,7 @@
 	 * @param name the service's name
 	 * @return the service, or empty if the plan does not define it
 	 */
-	public Optional<ServiceSpec> service(String name) {
+	public Optional<ServiceSpec> findService(String name) {
 		return Optional.ofNullable(this.services.get(name));
 	}
 
@@ -95,7 +95,7 @@
 	 * @return {@code true} if targets of the service may receive requests
 	 * @since 0.3
 	 */
-	public boolean namesService(String name) {
+	public boolean refersToService(String name) {
 		return this.serviceNames.contains(name);
 	}
 
@@ -103,7 +103,7 @@
 	 * Determine whether requests need a key on routes that are not open.
 	 * @return {@code true} if the plan has client accounts
 	 */
-	public boolean needsKeys() {
+	public boolean requiresKeys() {
 		return !this.accountsByKey.isEmpty();
 	}
 
@@ -112,7 +112,7 @@
 	 * @param key the key sent by the caller
 	 * @return the account and its rights, or empty if the key is unknown
 	 */
-	public Optional<AccountGrant> account(String key) {
+	public Optional<AccountGrant> findAccount(String key) {
 		return Optional.ofNullable(this.accountsByKey.get(key));
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/serving/ServingPlanTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/serving/ServingPlanTests.java
@@ -21,21 +21,21 @@
 	void findsTheRouteWithTheLongestPrefixOfItsHost() {
 		ServingPlan plan = plan(List.of(route("all", "h", "/"), route("deep", "h", "/a/b/"), route("a", "h", "/a/"),
 				route("other", "g", "/a/b/c/")));
-		assertThat(plan.route("h", "/a/b/x").map(RouteSpec::name)).isEqualTo(Optional.of("deep"));
-		assertThat(plan.route("h", "/a/c").map(RouteSpec::name)).isEqualTo(Optional.of("a"));
-		assertThat(plan.route("h", "/a").map(RouteSpec::name)).isEqualTo(Optional.of("all"));
-		assertThat(plan.route("g", "/a/b/x")).isEqualTo(Optional.empty());
-		assertThat(plan.route("unknown", "/a/")).isEqualTo(Optional.empty());
+		assertThat(plan.findRoute("h", "/a/b/x").map(RouteSpec::name)).isEqualTo(Optional.of("deep"));
+		assertThat(plan.findRoute("h", "/a/c").map(RouteSpec::name)).isEqualTo(Optional.of("a"));
+		assertThat(plan.findRoute("h", "/a").map(RouteSpec::name)).isEqualTo(Optional.of("all"));
+		assertThat(plan.findRoute("g", "/a/b/x")).isEqualTo(Optional.empty());
+		assertThat(plan.findRoute("unknown", "/a/")).isEqualTo(Optional.empty());
 	}
 
 	@Test
 	void needsKeysOnlyWithAccounts() {
-		assertThat(plan(List.of()).needsKeys()).isFalse();
+		assertThat(plan(List.of()).requiresKeys()).isFalse();
 		AccountGrant grant = new AccountGrant("acme", OptionalInt.of(1), AllowedRegions.any());
 		ServingPlan plan = new ServingPlan(1, List.of(), Map.of(), Map.of("key", grant), LIMITS);
-		assertThat(plan.needsKeys()).isTrue();
-		assertThat(plan.account("key")).isEqualTo(Optional.of(grant));
-		assertThat(plan.account("revoked")).isEqualTo(Optional.empty());
+		assertThat(plan.requiresKeys()).isTrue();
+		assertThat(plan.findAccount("key")).isEqualTo(Optional.of(grant));
+		assertThat(plan.findAccount("revoked")).isEqualTo(Optional.empty());
 	}
 
 	@Test
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -438,7 +438,7 @@
 	private double coldPerSecond(String service) {
 		return this.store.published()
 			.plan()
-			.flatMap((p) -> p.service(service))
+			.flatMap((p) -> p.findService(service))
 			.map(ServiceSpec::coldRequestsPerSecond)
 			.orElse(0.0);
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
@@ -182,7 +182,7 @@
 	}
 
 	private Either<Refusal, Admitted> admit(CallerRequest request, ServingPlan activePlan) {
-		Optional<RouteSpec> route = activePlan.route(request.exchange().getHostName(),
+		Optional<RouteSpec> route = activePlan.findRoute(request.exchange().getHostName(),
 				request.exchange().getRequestURI());
 		if (route.isEmpty()) {
 			return Either.left(Refusal.never(RefusalReason.UNKNOWN_ROUTE, "no route covers this host and path"));
@@ -194,8 +194,8 @@
 		catch (IllegalArgumentException ex) {
 			return Either.left(Refusal.never(RefusalReason.BAD_REQUEST, ex.getMessage()));
 		}
-		Optional<AccountGrant> account = facts.key().flatMap(activePlan::account);
-		if (account.isEmpty() && activePlan.needsKeys() && !route.get().open()) {
+		Optional<AccountGrant> account = facts.key().flatMap(activePlan::findAccount);
+		if (account.isEmpty() && activePlan.requiresKeys() && !route.get().open()) {
 			return Either.left(Refusal.never(RefusalReason.UNKNOWN_ACCOUNT, "the key belongs to no client account"));
 		}
 		if (facts.id().isEmpty()) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
@@ -55,7 +55,7 @@
 	private boolean isEngine(ListedTarget target) {
 		return this.store.published()
 			.plan()
-			.flatMap((ServingPlan p) -> p.service(target.service()))
+			.flatMap((ServingPlan p) -> p.findService(target.service()))
 			.filter((s) -> s.engine().isPresent())
 			.isPresent();
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetRegistrations.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetRegistrations.java
@@ -156,7 +156,7 @@
 	}
 
 	private boolean isNamed(ListedTarget target) {
-		return this.plan.filter((p) -> p.namesService(target.service())).isPresent();
+		return this.plan.filter((p) -> p.refersToService(target.service())).isPresent();
 	}
 
 	private boolean isKnownAs(ListedTarget target) {
