--- a/laneworks-core/src/main/java/dev/laneworks/core/host/AdmissionController.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/AdmissionController.java
@@ -59,7 +59,7 @@
 	Optional<Refusal> findRefusal(SidecarRequest request, long now) {
 		if (limitsMemory() && request.promptTokens() >= this.settings.capacityTokens()) {
 			return Optional
-				.of(Refusal.never(RefusalReason.BAD_REQUEST, "the prompt is larger than the engine's memory"));
+				.of(Refusal.permanent(RefusalReason.BAD_REQUEST, "the prompt is larger than the engine's memory"));
 		}
 		if (this.queue.size() >= this.settings.maxQueued()) {
 			return Optional
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Delivery.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Delivery.java
@@ -82,7 +82,7 @@
 		int size = generation.log().size();
 		if (reader.nextOffset() > size) {
 			return new SidecarMessage.Refused(reader.stream(),
-					Refusal.ran(RefusalReason.BAD_REQUEST, "the requested offset lies beyond the end of the output"));
+					Refusal.ranInPart(RefusalReason.BAD_REQUEST, "the requested offset lies beyond the end of the output"));
 		}
 		return new SidecarMessage.End(reader.stream(), size, generation.finishReason());
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostRefusals.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostRefusals.java
@@ -43,7 +43,7 @@
 	}
 
 	static Refusal outputLost(Generation generation, String detail) {
-		return (generation.log().size() > 0) ? Refusal.ran(RefusalReason.TARGET_LOST, detail)
+		return (generation.log().size() > 0) ? Refusal.ranInPart(RefusalReason.TARGET_LOST, detail)
 				: Refusal.mayHaveRun(RefusalReason.TARGET_LOST, detail);
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -72,7 +72,7 @@
 				}
 			}
 			case HAS_RUN -> this.refuser.refuseBeforeExecution(generation,
-					Refusal.ran(RefusalReason.KEY_IN_DOUBT, "an earlier request with the key ran at " + home), now);
+					Refusal.ranInPart(RefusalReason.KEY_IN_DOUBT, "an earlier request with the key ran at " + home), now);
 			case UNKNOWN ->
 				refuseInDoubt(generation, home + " cannot determine whether an earlier request with the key ran", now);
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/RequestAcceptor.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/RequestAcceptor.java
@@ -97,7 +97,7 @@
 		GenerationRegistry registry = this.context.registry();
 		if (registry.isDiscarded(name)) {
 			return Optional
-				.of(Refusal.ran(RefusalReason.GENERATION_UNKNOWN, "the request ran and its output is no longer held"));
+				.of(Refusal.ranInPart(RefusalReason.GENERATION_UNKNOWN, "the request ran and its output is no longer held"));
 		}
 		if (registry.isRevoked(name) || registry.isRevoked(submit.work().attemptName(submit.stream().attempt()))) {
 			return Optional
@@ -116,7 +116,7 @@
 				.of(HostRefusals.retryElsewhere(RefusalReason.WITHDRAWN, "the request was rejected before it ran"));
 		}
 		if (attach.incarnation() == this.incarnation || isDiscarded) {
-			return Optional.of(Refusal.ran(RefusalReason.GENERATION_UNKNOWN,
+			return Optional.of(Refusal.ranInPart(RefusalReason.GENERATION_UNKNOWN,
 					"the generation finished and its output is no longer held"));
 		}
 		return Optional.empty();
--- a/laneworks-core/src/main/java/dev/laneworks/core/verdict/Refusal.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/verdict/Refusal.java
@@ -39,7 +39,7 @@
 	 * @param detail one sentence that explains the refusal to the caller's operator
 	 * @return a refusal with the verdict {@link Verdict#NOT_RUN} and no retry delay
 	 */
-	public static Refusal never(RefusalReason reason, String detail) {
+	public static Refusal permanent(RefusalReason reason, String detail) {
 		return new Refusal(Verdict.NOT_RUN, reason, detail, Optional.empty());
 	}
 
@@ -59,7 +59,7 @@
 	 * @param detail one sentence that explains the end to the caller's operator
 	 * @return a refusal with the verdict {@link Verdict#RAN} and no retry delay
 	 */
-	public static Refusal ran(RefusalReason reason, String detail) {
+	public static Refusal ranInPart(RefusalReason reason, String detail) {
 		return new Refusal(Verdict.RAN, reason, detail, Optional.empty());
 	}
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/call/CallCoordinatorTests.java
@@ -130,7 +130,7 @@
 	void refusesWithTheWorstVerdictOfAllAttempts() {
 		open(true);
 		refuse("t1", FIRST, Refusal.mayHaveRun(RefusalReason.TARGET_LOST, "lost"));
-		refuse("t2", SECOND, Refusal.never(RefusalReason.BAD_REQUEST, "no"));
+		refuse("t2", SECOND, Refusal.permanent(RefusalReason.BAD_REQUEST, "no"));
 		assertThat(this.outputs.refusal.verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
 		assertThat(this.outputs.refusal.reason()).isEqualTo(RefusalReason.BAD_REQUEST);
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -178,7 +178,7 @@
 			Optional<StreamPosition> position = (id != null) ? new TokenSigner(this.secret).verifyPosition(id)
 					: Optional.empty();
 			if (position.isEmpty() || !position.get().account().equals(a.name())) {
-				CallerProblem.send(exchange, Refusal.never(RefusalReason.BAD_REQUEST,
+				CallerProblem.send(exchange, Refusal.permanent(RefusalReason.BAD_REQUEST,
 						"the Last-Event-ID header must be the id of an event that this account received"));
 				return;
 			}
@@ -217,7 +217,7 @@
 		withAccount(exchange, (c, a) -> withBody(exchange, (body) -> {
 			String model = readModel(body);
 			if (c.intent(a.name(), model).isEmpty()) {
-				CallerProblem.send(exchange, Refusal.never(RefusalReason.UNKNOWN_MODEL,
+				CallerProblem.send(exchange, Refusal.permanent(RefusalReason.UNKNOWN_MODEL,
 						"the account may use no model or service named '" + model + "'"));
 				return;
 			}
@@ -317,7 +317,7 @@
 			e.dispatch();
 			action.accept(body);
 		}, (e, ex) -> CallerProblem.send(e, (ex instanceof RequestTooBigException) ? tooLarge()
-				: Refusal.never(RefusalReason.BAD_REQUEST, "the body cannot be read: " + ex.getMessage())));
+				: Refusal.permanent(RefusalReason.BAD_REQUEST, "the body cannot be read: " + ex.getMessage())));
 	}
 
 	private static HttpHandler allowOnly(String method, HttpHandler handler) {
@@ -329,7 +329,7 @@
 			e.getResponseHeaders().put(Headers.ALLOW, method);
 			e.setStatusCode(StatusCodes.METHOD_NOT_ALLOWED);
 			e.getResponseHeaders().put(Headers.CONTENT_TYPE, CallerProblem.CONTENT_TYPE);
-			Refusal refusal = Refusal.never(RefusalReason.BAD_REQUEST, "only " + method + " is allowed here");
+			Refusal refusal = Refusal.permanent(RefusalReason.BAD_REQUEST, "only " + method + " is allowed here");
 			e.getResponseSender()
 				.send(CallerProblem.json(refusal).put("status", StatusCodes.METHOD_NOT_ALLOWED).toString());
 		};
@@ -345,12 +345,12 @@
 	}
 
 	private Refusal tooLarge() {
-		return Refusal.never(RefusalReason.TOO_LARGE,
+		return Refusal.permanent(RefusalReason.TOO_LARGE,
 				"the body is larger than " + this.settings.maxBodyBytes() + " bytes");
 	}
 
 	private static Refusal notFound() {
-		return Refusal.never(RefusalReason.UNKNOWN_MODEL, "nothing is served under this path");
+		return Refusal.permanent(RefusalReason.UNKNOWN_MODEL, "nothing is served under this path");
 	}
 
 	@FunctionalInterface
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -73,12 +73,12 @@
 	Either<Refusal, AccountDescription> account(HttpServerExchange exchange, FleetConfiguration configuration) {
 		String headerValue = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
 		if (headerValue == null || !headerValue.startsWith(BEARER)) {
-			return Either.left(Refusal.never(RefusalReason.UNKNOWN_ACCOUNT,
+			return Either.left(Refusal.permanent(RefusalReason.UNKNOWN_ACCOUNT,
 					"the Authorization header must be 'Bearer' and an API key"));
 		}
 		return configuration.accountByDigest(digest(headerValue.substring(BEARER.length()).strip()))
 			.<Either<Refusal, AccountDescription>>map(Either::right)
-			.orElseGet(() -> Either.left(Refusal.never(RefusalReason.UNKNOWN_ACCOUNT, "the API key is not known")));
+			.orElseGet(() -> Either.left(Refusal.permanent(RefusalReason.UNKNOWN_ACCOUNT, "the API key is not known")));
 	}
 
 	Either<Refusal, GenerationRequest> generation(HttpServerExchange exchange, byte[] body, OperationKind kind,
@@ -108,7 +108,7 @@
 		Optional<Intent> intent = configuration.intent(account.name(), model);
 		if (intent.isEmpty() || configuration.service(model).isPresent()) {
 			return Either
-				.left(Refusal.never(RefusalReason.UNKNOWN_MODEL, "the account may use no model named '" + model + "'"));
+				.left(Refusal.permanent(RefusalReason.UNKNOWN_MODEL, "the account may use no model named '" + model + "'"));
 		}
 		boolean stream = object.path("stream").asBoolean(false);
 		String prompt = (kind == OperationKind.CHAT) ? object.path(input).toString() : object.path(input).asText();
@@ -131,7 +131,7 @@
 		Optional<Intent> intent = configuration.intent(account.name(), name);
 		if (service.isEmpty() || intent.isEmpty()) {
 			return Either.left(
-					Refusal.never(RefusalReason.UNKNOWN_MODEL, "the account may use no service named '" + name + "'"));
+					Refusal.permanent(RefusalReason.UNKNOWN_MODEL, "the account may use no service named '" + name + "'"));
 		}
 		String method = exchange.getRequestMethod().toString();
 		String query = exchange.getQueryString().isEmpty() ? "" : '?' + exchange.getQueryString();
@@ -189,7 +189,7 @@
 	}
 
 	private static <T> Either<Refusal, T> badRequest(String detail) {
-		return Either.left(Refusal.never(RefusalReason.BAD_REQUEST, detail));
+		return Either.left(Refusal.permanent(RefusalReason.BAD_REQUEST, detail));
 	}
 
 	private static long prefixHash(String prompt) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/ServiceResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/ServiceResponse.java
@@ -37,7 +37,7 @@
 	public void finish(long total, FinishReason reason) {
 		if (this.reply == null) {
 			CallerProblem.send(this.exchange,
-					Refusal.ran(RefusalReason.TARGET_LOST, "the service returned no response"));
+					Refusal.ranInPart(RefusalReason.TARGET_LOST, "the service returned no response"));
 			return;
 		}
 		this.exchange.setStatusCode(this.reply.status());
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
@@ -168,12 +168,12 @@
 		}
 		RequestLimits limits = activePlan.get().limits();
 		if (headBytes(request) > limits.maxHeaderBytes()) {
-			return Either.left(Refusal.never(RefusalReason.HEAD_TOO_LARGE,
+			return Either.left(Refusal.permanent(RefusalReason.HEAD_TOO_LARGE,
 					"the head is larger than " + limits.maxHeaderBytes() + " bytes"));
 		}
 		if (!request.hasUnambiguousLength() || request.exchange().isHostIncludedInRequestURI()) {
 			request.exchange().setPersistent(false);
-			return Either.left(Refusal.never(RefusalReason.BAD_REQUEST, "the request is not framed clearly"));
+			return Either.left(Refusal.permanent(RefusalReason.BAD_REQUEST, "the request is not framed clearly"));
 		}
 		if (request.exchange().getRequestContentLength() > limits.maxBodyBytes()) {
 			return Either.left(tooLarge(limits));
@@ -185,21 +185,21 @@
 		Optional<RouteSpec> route = activePlan.findRoute(request.exchange().getHostName(),
 				request.exchange().getRequestURI());
 		if (route.isEmpty()) {
-			return Either.left(Refusal.never(RefusalReason.UNKNOWN_ROUTE, "no route covers this host and path"));
+			return Either.left(Refusal.permanent(RefusalReason.UNKNOWN_ROUTE, "no route covers this host and path"));
 		}
 		RequestFacts facts;
 		try {
 			facts = this.translation.readRequest(request.headers());
 		}
 		catch (IllegalArgumentException ex) {
-			return Either.left(Refusal.never(RefusalReason.BAD_REQUEST, ex.getMessage()));
+			return Either.left(Refusal.permanent(RefusalReason.BAD_REQUEST, ex.getMessage()));
 		}
 		Optional<AccountGrant> account = facts.key().flatMap(activePlan::findAccount);
 		if (account.isEmpty() && activePlan.requiresKeys() && !route.get().open()) {
-			return Either.left(Refusal.never(RefusalReason.UNKNOWN_ACCOUNT, "the key belongs to no client account"));
+			return Either.left(Refusal.permanent(RefusalReason.UNKNOWN_ACCOUNT, "the key belongs to no client account"));
 		}
 		if (facts.id().isEmpty()) {
-			return Either.left(Refusal.never(RefusalReason.BAD_REQUEST, "the request has no identity"));
+			return Either.left(Refusal.permanent(RefusalReason.BAD_REQUEST, "the request has no identity"));
 		}
 		if (!this.shutdown.canFinish(route.get(), facts.work(), this.loop.now())) {
 			return Either.left(Refusal.notRun(RefusalReason.LEAVING, "this entry ends before the answer would",
@@ -230,7 +230,7 @@
 		}, (e, ex) -> {
 			e.setPersistent(false);
 			refuse(request, (ex instanceof RequestTooBigException) ? tooLarge(admitted.limits())
-					: Refusal.never(RefusalReason.BAD_REQUEST, "the body can't be read: " + ex.getMessage()));
+					: Refusal.permanent(RefusalReason.BAD_REQUEST, "the body can't be read: " + ex.getMessage()));
 		});
 	}
 
@@ -272,7 +272,7 @@
 	}
 
 	private static Refusal tooLarge(RequestLimits limits) {
-		return Refusal.never(RefusalReason.TOO_LARGE, "the body is larger than " + limits.maxBodyBytes() + " bytes");
+		return Refusal.permanent(RefusalReason.TOO_LARGE, "the body is larger than " + limits.maxBodyBytes() + " bytes");
 	}
 
 	private static int headBytes(CallerRequest request) {
