--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptScheduler.java
@@ -75,9 +75,9 @@
 		this.entries = entries;
 		this.connectFailure = connectFailure;
 		this.connectTimeout = new AdaptiveTimeout(settings.connectMillis(),
-				settings.mechanisms().use(Mechanism.LEARNED_CONNECT_LIMIT) ? MAX_CONNECT_MILLIS
+				settings.mechanisms().isEnabled(Mechanism.LEARNED_CONNECT_LIMIT) ? MAX_CONNECT_MILLIS
 						: settings.connectMillis());
-		this.admissionEnabled = settings.mechanisms().use(Mechanism.ENGINE_ADMISSION);
+		this.admissionEnabled = settings.mechanisms().isEnabled(Mechanism.ENGINE_ADMISSION);
 	}
 
 	// Dispatches a call that no target has executed to the best target left, or refuses
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -228,7 +228,7 @@
 
 	private Optional<ListedTarget> chooseBackup(DirectCall call, ListedTarget target, EngineSpec engine, long now) {
 		Optional<GenerationSize> size = call.request().size();
-		if (!this.mechanisms.use(Mechanism.RUNNING_COPIES) || !engine.supportsBackups() || size.isEmpty()
+		if (!this.mechanisms.isEnabled(Mechanism.RUNNING_COPIES) || !engine.supportsBackups() || size.isEmpty()
 				|| size.get().isShort()
 				|| this.chooser.fleetUtilization(target.service(), engine, now) > MAX_FLEET_UTILIZATION) {
 			return Optional.empty();
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Dispatcher.java
@@ -102,18 +102,18 @@
 		this.sender = new AttemptSender(directory, eligibility, estimates, chooser, outputs, audit,
 				settings.mechanisms());
 		this.standbys = new StandbyCopies(directory, eligibility, estimates, chooser, coordination, timers, outputs, audit,
-				settings.mechanisms().use(Mechanism.STANDBY_COPIES));
+				settings.mechanisms().isEnabled(Mechanism.STANDBY_COPIES));
 		this.mover = new StreamMover(chooser, estimates, this.standbys, coordination, timers, outputs, audit,
 				new CallResumption());
 		this.completion = new CallCompletion(settings, this.calls, this.sender, this.standbys, this.mover, outputs, audit);
 		this.poison = new PoisonRequestGuard(suspects, directory, eligibility::isDraining, this.completion, timers, outputs, audit,
-				settings.mechanisms().use(Mechanism.REQUEST_QUARANTINE));
+				settings.mechanisms().isEnabled(Mechanism.REQUEST_QUARANTINE));
 		this.scheduler = new AttemptScheduler(settings, retries, this.sender, this.completion, this.poison, timers, outputs, audit,
 				this::engine, entries,
 				(c, a, t) -> connectFailed(c.number(), a.number(), ConnectFault.TIMED_OUT, "connect timeout expired", t));
 		this.continuation = new Continuation(eligibility, retries, this.sender, this.standbys, this.mover, this.completion,
 				this.poison, audit, this.scheduler::startAttempt, this::engine,
-				settings.mechanisms().use(Mechanism.COPIES_AT_NOTICE));
+				settings.mechanisms().isEnabled(Mechanism.COPIES_AT_NOTICE));
 		this.outcomes = new AttemptOutcomes(settings, directory, estimates, this.sender, this.scheduler, this.continuation,
 				this.completion, this.poison, outputs, audit);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetChooser.java
@@ -164,7 +164,7 @@
 	}
 
 	private double placementSpread() {
-		return this.mechanisms.use(Mechanism.SPREAD_PLACING) ? this.random.nextDouble() * PLACEMENT_SPREAD : 0;
+		return this.mechanisms.isEnabled(Mechanism.SPREAD_PLACING) ? this.random.nextDouble() * PLACEMENT_SPREAD : 0;
 	}
 
 	/**
@@ -265,7 +265,7 @@
 
 	private List<ListedTarget> candidates(CandidateFilter filter, long now) {
 		List<ListedTarget> eligible = this.eligibility.targets(filter, now);
-		if (!this.mechanisms.use(Mechanism.EJECTION)) {
+		if (!this.mechanisms.isEnabled(Mechanism.EJECTION)) {
 			return eligible;
 		}
 		List<ListedTarget> reachable = orAllIfEmpty(
@@ -286,7 +286,7 @@
 	private double plainScore(ListedTarget target, double fastest, long now) {
 		TargetEstimate estimate = this.estimates.of(target);
 		double response = Math.max(fastest, estimate.quality().responseMillis());
-		double slowness = this.mechanisms.use(Mechanism.LEARNED_SPEED)
+		double slowness = this.mechanisms.isEnabled(Mechanism.LEARNED_SPEED)
 				? Math.min(MAX_SLOWNESS_FACTOR, response / fastest) : 1;
 		double load = (this.estimates.requests(target, now) + 1) / Math.max(1, target.slots());
 		double score = load * slowness + estimate.quality().failureRate(now) + jitter();
@@ -309,7 +309,7 @@
 	}
 
 	private boolean isLocal(ListedTarget target, String from) {
-		return target.dataCentre().equals(from) || !this.mechanisms.use(Mechanism.NEAR_TARGETS);
+		return target.dataCentre().equals(from) || !this.mechanisms.isEnabled(Mechanism.NEAR_TARGETS);
 	}
 
 	private double jitter() {
--- a/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanisms.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanisms.java
@@ -9,13 +9,13 @@
 /**
  * Set of the mechanisms that an entry uses.
  *
- * @param off the disabled mechanisms
+ * @param disabled the disabled mechanisms
  * @since 0.2
  */
-public record Mechanisms(Set<Mechanism> off) {
+public record Mechanisms(Set<Mechanism> disabled) {
 
 	public Mechanisms {
-		off = Set.copyOf(off);
+		disabled = Set.copyOf(disabled);
 	}
 
 	/**
@@ -49,8 +49,8 @@
 	 * @param mechanism the mechanism to look up
 	 * @return {@code false} if the mechanism is disabled
 	 */
-	public boolean use(Mechanism mechanism) {
-		return !this.off.contains(mechanism);
+	public boolean isEnabled(Mechanism mechanism) {
+		return !this.disabled.contains(mechanism);
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -245,7 +245,7 @@
 		this.peers.listen(this.settings.news());
 		this.loop.run(() -> this.peers.start(this.loop.now()));
 		this.loop.run(() -> this.suspects.start(this.loop.now()));
-		if (this.settings.mechanisms().use(Mechanism.LEAVING_INQUIRY)) {
+		if (this.settings.mechanisms().isEnabled(Mechanism.LEAVING_INQUIRY)) {
 			this.loop.run(() -> this.inquiry.start(this.loop.now()));
 		}
 		MonotonicClock.countSuspensions();
@@ -416,7 +416,7 @@
 	}
 
 	private Optional<RetryBudgetUsage> peerSpending(String service, long windowMillis, long now) {
-		return this.settings.mechanisms().use(Mechanism.SHARED_BUDGET) ? this.peers.spending(service, windowMillis, now)
+		return this.settings.mechanisms().isEnabled(Mechanism.SHARED_BUDGET) ? this.peers.spending(service, windowMillis, now)
 				: Optional.empty();
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -94,7 +94,7 @@
 		this.reading = new SharedWatch(settings.instance(), settings.dataCentre(), this::sharingPeers,
 				(n) -> sendStoreUpdate(this.gossip.nearAddresses(), n), (n) -> sendStoreUpdate(
 						this.gossip.topOfOtherDataCentres(SharedWatch.RECEIVERS_PER_GROUP, SharedWatch::rank), n));
-		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
+		if (this.mechanisms.isEnabled(Mechanism.ENTRY_NEWS)) {
 			estimates.onChange((target, change) -> this.gossip.workChanged(target.incarnation(), reach(change), loop.now()));
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 
 	void start(long now) {
-		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
+		if (this.mechanisms.isEnabled(Mechanism.ENTRY_NEWS)) {
 			this.gossip.start(now);
 		}
 	}
@@ -189,7 +189,7 @@
 
 	// Announce the back-pressure signals of a target to all other entries at once.
 	void announceNeeds(TargetIncarnation target) {
-		if (this.mechanisms.use(Mechanism.ENTRY_NEWS)) {
+		if (this.mechanisms.isEnabled(Mechanism.ENTRY_NEWS)) {
 			this.gossip.workChanged(target, UpdateScope.ALL, this.loop.now());
 		}
 	}
@@ -228,7 +228,7 @@
 
 	@Override
 	public boolean isOwnTurn(ListedTarget source, long sinceNotice, long now) {
-		return !this.mechanisms.use(Mechanism.COPY_TURNS) || this.gossip.mayStartMove(source.incarnation(), sinceNotice, now);
+		return !this.mechanisms.isEnabled(Mechanism.COPY_TURNS) || this.gossip.mayStartMove(source.incarnation(), sinceNotice, now);
 	}
 
 	@Override
@@ -283,7 +283,7 @@
 	}
 
 	private int sharingPeers() {
-		return this.mechanisms.use(Mechanism.SHARED_READING) ? this.gossip.sameDataCentre().size() : 0;
+		return this.mechanisms.isEnabled(Mechanism.SHARED_READING) ? this.gossip.sameDataCentre().size() : 0;
 	}
 
 	// Has no effect before the socket is open.
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/DirectSettingsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/DirectSettingsTests.java
@@ -37,9 +37,9 @@
 	@Test
 	void switchesMechanismsOffByLabel() {
 		DirectSettings without = read(TEXT.replace("8 }", "8, \"off\": [\"entry-news\", \"ejection\"] }"));
-		assertThat(without.mechanisms().use(Mechanism.ENTRY_NEWS)).isFalse();
-		assertThat(without.mechanisms().use(Mechanism.EJECTION)).isFalse();
-		assertThat(without.mechanisms().use(Mechanism.COPY_TURNS)).isTrue();
+		assertThat(without.mechanisms().isEnabled(Mechanism.ENTRY_NEWS)).isFalse();
+		assertThat(without.mechanisms().isEnabled(Mechanism.EJECTION)).isFalse();
+		assertThat(without.mechanisms().isEnabled(Mechanism.COPY_TURNS)).isTrue();
 		assertThat(this.settings.mechanisms()).isEqualTo(Mechanisms.all());
 	}
 
