--- a/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanism.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanism.java
@@ -63,7 +63,7 @@
 	 * @param label the label as used in settings
 	 * @return the mechanism, or empty if the label is unknown
 	 */
-	public static Optional<Mechanism> of(String label) {
+	public static Optional<Mechanism> find(String label) {
 		return Arrays.stream(values()).filter((m) -> m.label().equals(label)).findFirst();
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanisms.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/mechanism/Mechanisms.java
@@ -35,7 +35,7 @@
 	public static Mechanisms read(DocumentObject object, String name) {
 		Set<Mechanism> off = EnumSet.noneOf(Mechanism.class);
 		for (String label : object.texts(name)) {
-			Optional<Mechanism> found = Mechanism.of(label);
+			Optional<Mechanism> found = Mechanism.find(label);
 			if (found.isEmpty()) {
 				return object.invalid(name, "names the unknown mechanism " + label, all());
 			}
