--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -188,7 +188,7 @@
 	}
 
 	@Override
-	public void pause(String generation) {
+	public void preempt(String generation) {
 		throw new IllegalStateException("the fuzz tool does not limit memory");
 	}
 
@@ -206,7 +206,7 @@
 	}
 
 	@Override
-	public void askHome(String home, IdempotencyKey key) {
+	public void requestKeyRevocation(String home, IdempotencyKey key) {
 		this.cluster.revokeKeyAtHome(this, home, key,
 				(o) -> run(() -> this.host.onHomeAnswer(home, key, o, this.time.now())));
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/CorePolicy.java
@@ -204,7 +204,7 @@
 		}
 
 		@Override
-		public void pause(String generation) {
+		public void preempt(String generation) {
 			CorePolicy.this.replay.metrics().recordPreemption();
 			CorePolicy.this.replay.engine(this.engine).pause(String.valueOf(CorePolicy.requestNumber(generation)));
 		}
@@ -221,7 +221,7 @@
 		}
 
 		@Override
-		public void askHome(String home, IdempotencyKey key) {
+		public void requestKeyRevocation(String home, IdempotencyKey key) {
 			throw new IllegalStateException("the replay uses no keys");
 		}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostOutputs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostOutputs.java
@@ -44,7 +44,7 @@
 	 * Preempt a generation at the target and free its memory.
 	 * @param generation the generation's name
 	 */
-	void pause(String generation);
+	void preempt(String generation);
 
 	/**
 	 * Resume a preempted generation at the target.
@@ -63,6 +63,6 @@
 	 * @param home the name of the former home
 	 * @param key the key
 	 */
-	void askHome(String home, IdempotencyKey key);
+	void requestKeyRevocation(String home, IdempotencyKey key);
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -57,7 +57,7 @@
 		}
 		else if (decision instanceof KeyDecision.AskHomes ask) {
 			generation.pendingHomes().addAll(ask.homes());
-			ask.homes().forEach((h) -> this.context.outputs().askHome(h, key));
+			ask.homes().forEach((h) -> this.context.outputs().requestKeyRevocation(h, key));
 		}
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/SlotAllocator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/SlotAllocator.java
@@ -57,7 +57,7 @@
 						"memory is nearly full with " + this.context.admission().usedTokens() + " tokens held");
 			generation.transitionTo(GenerationState.PAUSED);
 			this.context.admission().requeue(generation);
-			this.context.outputs().pause(generation.name());
+			this.context.outputs().preempt(generation.name());
 			victim = this.context.admission().findPreemptionVictim();
 		}
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -383,7 +383,7 @@
 		}
 
 		@Override
-		public void pause(String generation) {
+		public void preempt(String generation) {
 			this.log.add("pause " + generation);
 		}
 
@@ -398,7 +398,7 @@
 		}
 
 		@Override
-		public void askHome(String home, IdempotencyKey key) {
+		public void requestKeyRevocation(String home, IdempotencyKey key) {
 			this.log.add("ask " + home);
 		}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarOutputs.java
@@ -70,7 +70,7 @@
 	}
 
 	@Override
-	public void pause(String generation) {
+	public void preempt(String generation) {
 		this.target.pause(generation);
 	}
 
@@ -85,7 +85,7 @@
 	}
 
 	@Override
-	public void askHome(String home, IdempotencyKey key) {
+	public void requestKeyRevocation(String home, IdempotencyKey key) {
 		if (this.linkedHomes.contains(home)) {
 			this.otherSidecars.send(home, new EntryMessage.RevokeKey(key));
 			return;
