--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -101,18 +101,18 @@
 
 	void drain() {
 		this.draining = true;
-		this.host.leave("graceful shutdown", this.time.now());
+		this.host.drain("graceful shutdown", this.time.now());
 		this.links.keySet().forEach((l) -> send(l, new SidecarMessage.Load(this.host.load())));
 	}
 
 	void announceShutdown() {
-		this.host.end();
+		this.host.stop();
 		this.links.keySet().forEach((l) -> send(l, new SidecarMessage.Shutdown()));
 	}
 
 	void linkUp(FakeLink link) {
 		this.links.put(link.number(), link);
-		if (this.host.isEnded()) {
+		if (this.host.isStopped()) {
 			send(link.number(), new SidecarMessage.Shutdown());
 			return;
 		}
@@ -164,7 +164,7 @@
 
 	@Override
 	public void start(String generation, SidecarRequest request) {
-		if (this.host.isLeaving()) {
+		if (this.host.isDraining()) {
 			throw new InvariantViolationException("a draining target started a new generation: " + generation);
 		}
 		int length = Integer.parseInt(new String(request.body(), StandardCharsets.UTF_8));
@@ -208,7 +208,7 @@
 	@Override
 	public void requestKeyRevocation(String home, IdempotencyKey key) {
 		this.cluster.revokeKeyAtHome(this, home, key,
-				(o) -> run(() -> this.host.onHomeAnswer(home, key, o, this.time.now())));
+				(o) -> run(() -> this.host.onKeyRevocationAnswer(home, key, o, this.time.now())));
 	}
 
 	private void applyConfiguration(FleetConfiguration configuration) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -178,7 +178,7 @@
 	 * @param outcome whether the key was revoked or has run there
 	 * @param now the current time in milliseconds
 	 */
-	public void onHomeAnswer(String home, IdempotencyKey key, RevocationOutcome outcome, long now) {
+	public void onKeyRevocationAnswer(String home, IdempotencyKey key, RevocationOutcome outcome, long now) {
 		this.context.registry()
 			.findAsking(key.generationName())
 			.ifPresent((g) -> this.keyedRequests.handleHomeAnswer(g, home, outcome, now));
@@ -189,7 +189,7 @@
 	 * @param cause the reason for the audit log
 	 * @param now the current time in milliseconds
 	 */
-	public void leave(String cause, long now) {
+	public void drain(String cause, long now) {
 		if (this.acceptor.isClosed()) {
 			return;
 		}
@@ -230,23 +230,23 @@
 	 * Stop handling messages. The caller then sends {@link SidecarMessage.Shutdown} on
 	 * every link.
 	 */
-	public void end() {
+	public void stop() {
 		this.ended = true;
 	}
 
 	/**
 	 * Determine whether messages are no longer handled.
-	 * @return {@code true} after {@link #end}
+	 * @return {@code true} after {@link #stop}
 	 */
-	public boolean isEnded() {
+	public boolean isStopped() {
 		return this.ended;
 	}
 
 	/**
 	 * Determine whether the target is draining.
-	 * @return {@code true} after {@link #leave}
+	 * @return {@code true} after {@link #drain}
 	 */
-	public boolean isLeaving() {
+	public boolean isDraining() {
 		return this.acceptor.isClosed();
 	}
 
@@ -257,7 +257,7 @@
 	public LoadReport load() {
 		AdmissionController admission = this.context.admission();
 		return new LoadReport(admission.runningCount(), admission.queuedCount(), admission.usedTokens(),
-				this.context.settings().capacityTokens(), isLeaving());
+				this.context.settings().capacityTokens(), isDraining());
 	}
 
 	/**
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -135,7 +135,7 @@
 		submit(LINK, 1, "a", 9);
 		submit(LINK, 2, "b", 9);
 		submit(LINK, 3, "c", 9);
-		this.host.leave("test", 1);
+		this.host.drain("test", 1);
 		assertThat(this.outputs.refused).containsExactly(RefusalReason.LEAVING);
 		assertThat(this.outputs.verdict).isEqualTo(Verdict.NOT_RUN);
 		submit(LINK, 4, "d", 9);
@@ -230,7 +230,7 @@
 		submitKeyed(1, key, 40_010);
 		assertThat(this.outputs.last()).isEqualTo("ask u");
 		assertThat(this.outputs.starts).isEqualTo(0);
-		this.host.onHomeAnswer("u", key, RevocationOutcome.BARRED, 40_020);
+		this.host.onKeyRevocationAnswer("u", key, RevocationOutcome.BARRED, 40_020);
 		assertThat(this.outputs.starts).isEqualTo(1);
 	}
 
@@ -240,7 +240,7 @@
 		publish(2, 40_000, "t");
 		IdempotencyKey ran = new IdempotencyKey("a", "k", IdempotencyKey.NO_TICKET);
 		submitKeyed(1, ran, 40_010);
-		this.host.onHomeAnswer("u", ran, RevocationOutcome.HAS_RUN, 40_020);
+		this.host.onKeyRevocationAnswer("u", ran, RevocationOutcome.HAS_RUN, 40_020);
 		assertThat(this.outputs.verdict).isEqualTo(Verdict.RAN);
 		submitKeyed(2, new IdempotencyKey("a", "j", IdempotencyKey.NO_TICKET), 40_030);
 		this.host.tick(40_600);
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/FormerHomeListener.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/FormerHomeListener.java
@@ -31,7 +31,7 @@
 		FrameCodec.decodeSidecarMessage(frame).ifPresent((m) -> {
 			if (m instanceof SidecarMessage.KeyRevokeResult barResult) {
 				this.duty.accept((s) -> s.host()
-					.onHomeAnswer(target, barResult.key(), barResult.outcome(), MonotonicClock.millis()));
+					.onKeyRevocationAnswer(target, barResult.key(), barResult.outcome(), MonotonicClock.millis()));
 			}
 		});
 	}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
@@ -60,7 +60,7 @@
 
 	void onLinkUp(Link link) {
 		this.links.put(link.number(), link);
-		if (this.host.isEnded()) {
+		if (this.host.isStopped()) {
 			link.send(new SidecarMessage.Shutdown());
 			return;
 		}
@@ -81,12 +81,12 @@
 	}
 
 	void leave(String cause) {
-		this.host.leave(cause, MonotonicClock.millis());
+		this.host.drain(cause, MonotonicClock.millis());
 		this.outputs.sendLoadToAll();
 	}
 
 	void sendFarewell() {
-		this.host.end();
+		this.host.stop();
 		this.links.values().forEach((l) -> l.send(new SidecarMessage.Shutdown()));
 	}
 
