--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostCounters.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostCounters.java
@@ -13,9 +13,9 @@
 
 	private final LongAdder refused = new LongAdder();
 
-	private final LongAdder tokens = new LongAdder();
+	private final LongAdder chunks = new LongAdder();
 
-	private final LongAdder yields = new LongAdder();
+	private final LongAdder preemptions = new LongAdder();
 
 	private final LongAdder cancelled = new LongAdder();
 
@@ -45,16 +45,16 @@
 	 * Return the number of output chunks received from the target.
 	 * @return the counter of chunks, without duplicates
 	 */
-	public LongAdder tokens() {
-		return this.tokens;
+	public LongAdder chunks() {
+		return this.chunks;
 	}
 
 	/**
 	 * Return the number of generations preempted to free memory.
 	 * @return the counter of preemptions
 	 */
-	public LongAdder yields() {
-		return this.yields;
+	public LongAdder preemptions() {
+		return this.preemptions;
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/SlotAllocator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/SlotAllocator.java
@@ -51,7 +51,7 @@
 		Optional<Generation> victim = this.context.admission().findPreemptionVictim();
 		while (victim.isPresent()) {
 			Generation generation = victim.get();
-			this.context.counters().yields().increment();
+			this.context.counters().preemptions().increment();
 			this.context.audit()
 				.record(AuditKind.YIELDED, generation,
 						"memory is nearly full with " + this.context.admission().usedTokens() + " tokens held");
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/TargetOutputHandler.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/TargetOutputHandler.java
@@ -45,7 +45,7 @@
 		}
 		generation.stopReattaching();
 		generation.log().append(data);
-		this.context.counters().tokens().increment();
+		this.context.counters().chunks().increment();
 		this.context.admission().recordToken(generation);
 		this.context.delivery().sendAvailable(generation, now);
 	}
--- a/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/host/GenerationHostTests.java
@@ -278,7 +278,7 @@
 		assertThat(this.outputs.log).doesNotContain("pause low-1");
 		small.onTargetEnd("high-1", 41, FinishReason.STOP, 3);
 		assertThat(this.outputs.last()).isEqualTo("resume less-1");
-		assertThat(small.counters().yields().sum()).isEqualTo(1);
+		assertThat(small.counters().preemptions().sum()).isEqualTo(1);
 	}
 
 	private GenerationHost host(HostSettings settings) {
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
@@ -210,8 +210,8 @@
 	private void registerMetrics(HostCounters hostCounters) {
 		this.parts.gauge("laneworks_admitted", hostCounters.admitted()::sum);
 		this.parts.gauge("laneworks_refused", hostCounters.refused()::sum);
-		this.parts.gauge("laneworks_tokens", hostCounters.tokens()::sum);
-		this.parts.gauge("laneworks_preemptions", hostCounters.yields()::sum);
+		this.parts.gauge("laneworks_tokens", hostCounters.chunks()::sum);
+		this.parts.gauge("laneworks_preemptions", hostCounters.preemptions()::sum);
 		this.parts.gauge("laneworks_cancelled", hostCounters.cancelled()::sum);
 		this.parts.gauge("laneworks_duplicates_dropped", hostCounters.duplicates()::sum);
 		this.parts.gauge("laneworks_gaps_mended", hostCounters.gaps()::sum);
