--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/PolicyCommand.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/PolicyCommand.java
@@ -58,7 +58,7 @@
 		OptionSpec<Double> highWater = parser.accepts("high-water")
 			.withRequiredArg()
 			.ofType(Double.class)
-			.defaultsTo(HostSettings.defaults(0).highWater());
+			.defaultsTo(HostSettings.defaults(0).highWaterMark());
 		OptionSpec<String> traceNames = parser.accepts("trace").withRequiredArg();
 		OptionSpec<Void> json = parser.accepts("json");
 		try {
@@ -93,7 +93,7 @@
 		rows.add(bestLeastOutstanding(trace));
 		rows.add(new Row("(c) laneworks", run(trace, (r) -> new CorePolicy(r, settings,
 				new LearnedLengthModel(HALF_LIFE, LearnedLengthModel.DEFAULT_MAX_CLASSES), false))));
-		HostSettings clairvoyantSettings = settings(trace, 0, settings.highWater(), settings.ageingMillis());
+		HostSettings clairvoyantSettings = settings(trace, 0, settings.highWaterMark(), settings.ageingMillis());
 		rows.add(new Row("(d) clairvoyant", run(trace,
 				(r) -> new CorePolicy(r, clairvoyantSettings, new CorePolicy.ClairvoyantLengthModel(), true))));
 		out.printf("%n%s: %d requests, %d engines of %d tokens, %d s%n", name, trace.arrivals().size(), trace.engines(),
@@ -135,7 +135,7 @@
 	private static HostSettings settings(GeneratedTrace trace, double deviations, double highWater, long ageing) {
 		HostSettings defaults = HostSettings.defaults(trace.capacityTokens());
 		return new HostSettings(128, 10_000, trace.capacityTokens(), highWater, deviations, ageing,
-				defaults.orphanMillis(), defaults.holdMillis(), defaults.reattachMillis(), defaults.askMillis(),
+				defaults.orphanTimeoutMillis(), defaults.outputRetentionMillis(), defaults.reattachMillis(), defaults.keyCheckTimeoutMillis(),
 				defaults.pauseMillis(), defaults.lengthHalfLife());
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/AdmissionController.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/AdmissionController.java
@@ -125,7 +125,7 @@
 	// Select the generation to preempt if memory is nearly full.
 	Optional<Generation> findPreemptionVictim() {
 		if (!limitsMemory() || this.running.size() < 2
-				|| this.usedTokens <= this.settings.highWater() * this.settings.capacityTokens()) {
+				|| this.usedTokens <= this.settings.highWaterMark() * this.settings.capacityTokens()) {
 			return Optional.empty();
 		}
 		return this.running.stream().min(PREEMPTION_ORDER);
@@ -152,7 +152,7 @@
 			this.forecastStale = false;
 			this.forecastAt = now;
 		}
-		double admissionLimit = (this.settings.highWater() - PREEMPTION_MARGIN) * this.settings.capacityTokens();
+		double admissionLimit = (this.settings.highWaterMark() - PREEMPTION_MARGIN) * this.settings.capacityTokens();
 		return this.usedTokens + candidate.occupiedTokens() <= admissionLimit
 				&& this.forecast.fits(candidate, this.settings.capacityTokens());
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationHost.java
@@ -223,7 +223,7 @@
 			.all()
 			.stream()
 			.allMatch((g) -> g.state().isFinished() && g.reader().isEmpty()
-					&& (g.isDelivered() || now - g.idleSince() >= this.context.settings().holdMillis()));
+					&& (g.isDelivered() || now - g.idleSince() >= this.context.settings().outputRetentionMillis()));
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationTerminator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/GenerationTerminator.java
@@ -102,11 +102,11 @@
 
 	private boolean isOrphaned(Generation generation, long now) {
 		return generation.reader().isEmpty()
-				&& now - generation.readerLostAt() >= this.context.settings().orphanMillis();
+				&& now - generation.readerLostAt() >= this.context.settings().orphanTimeoutMillis();
 	}
 
 	private long holdMillis(Generation generation) {
-		return generation.isKeyed() ? this.context.registry().retentionMillis() : this.context.settings().holdMillis();
+		return generation.isKeyed() ? this.context.registry().retentionMillis() : this.context.settings().outputRetentionMillis();
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -50,7 +50,7 @@
 			return;
 		}
 		generation.transitionTo(GenerationState.ASKING);
-		generation.setDeadline(now + this.context.settings().askMillis());
+		generation.setDeadline(now + this.context.settings().keyCheckTimeoutMillis());
 		if (decision instanceof KeyDecision.AskTarget ask) {
 			generation.setRefusalIfUnknown(ask.otherwise());
 			this.context.outputs().lookUp(generation.name());
