--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -52,7 +52,7 @@
 		generation.transitionTo(GenerationState.ASKING);
 		generation.setDeadline(now + this.context.settings().keyCheckTimeoutMillis());
 		if (decision instanceof KeyDecision.AskTarget ask) {
-			generation.setRefusalIfUnknown(ask.otherwise());
+			generation.setRefusalIfUnknown(ask.ifUnknown());
 			this.context.outputs().lookUp(generation.name());
 		}
 		else if (decision instanceof KeyDecision.AskHomes ask) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/KeyDecision.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/KeyDecision.java
@@ -31,9 +31,9 @@
 	 * An earlier sidecar process of the target may have run a request with the key, which
 	 * the target must be asked about.
 	 *
-	 * @param otherwise the refusal if the target holds no such generation
+	 * @param ifUnknown the refusal if the target holds no such generation
 	 */
-	record AskTarget(Refusal otherwise) implements KeyDecision {
+	record AskTarget(Refusal ifUnknown) implements KeyDecision {
 
 	}
 
