--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
@@ -50,7 +50,7 @@
 			return RevocationOutcome.HAS_RUN;
 		}
 		Optional<FleetConfiguration> configuration = this.context.ledger().current();
-		if (generation.isEmpty() && !configuration.filter((c) -> this.keyGuard.remembersWindow(c, now)).isPresent()) {
+		if (generation.isEmpty() && !configuration.filter((c) -> this.keyGuard.coversRetryWindow(c, now)).isPresent()) {
 			return RevocationOutcome.UNKNOWN;
 		}
 		generation.ifPresent((g) -> this.refuser.refuseBeforeExecution(g,
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
@@ -94,7 +94,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code true} if the sidecar started long enough ago
 	 */
-	public boolean remembersWindow(FleetConfiguration configuration, long now) {
+	public boolean coversRetryWindow(FleetConfiguration configuration, long now) {
 		return now - this.startedAt >= configuration.keyTimes().retentionMillis();
 	}
 
@@ -121,7 +121,7 @@
 	}
 
 	private KeyDecision decideAtHome(String generation, String model, FleetConfiguration configuration, long now) {
-		if (!remembersWindow(configuration, now)) {
+		if (!coversRetryWindow(configuration, now)) {
 			long remainingMillis = this.startedAt + configuration.keyTimes().retentionMillis() - now;
 			return new KeyDecision.AskTarget(new Refusal(Verdict.MAY_HAVE_RUN, RefusalReason.KEY_IN_DOUBT,
 					"this request did not run: an earlier request with the key may have run before this sidecar started",
