--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -147,7 +147,7 @@
 		this.exchange.keeper()
 			.configurationHolder()
 			.current()
-			.ifPresent((c) -> this.views.forget(now - c.keyTimes().retentionMillis()));
+			.ifPresent((c) -> this.views.removeReplacedBefore(now - c.keyTimes().retentionMillis()));
 	}
 
 	@Override
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/ViewHistory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/ViewHistory.java
@@ -39,7 +39,7 @@
 	 * Remove the views that were replaced at or before a time.
 	 * @param before the time in milliseconds
 	 */
-	public void forget(long before) {
+	public void removeReplacedBefore(long before) {
 		while (this.views.size() > 1 && secondViewSince() <= before) {
 			this.views.removeFirst();
 		}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarState.java
@@ -97,7 +97,7 @@
 		this.exchange.keeper()
 			.configurationHolder()
 			.current()
-			.ifPresent((c) -> this.views.forget(now - c.keyTimes().retentionMillis()));
+			.ifPresent((c) -> this.views.removeReplacedBefore(now - c.keyTimes().retentionMillis()));
 	}
 
 	void onConfigurationMessage(Link link, ConfigurationMessage message) {
