--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -34,8 +34,8 @@
 import dev.laneworks.core.mechanism.Mechanism;
 import dev.laneworks.core.mechanism.Mechanisms;
 import dev.laneworks.core.poison.SuspectReport;
+import dev.laneworks.wire.GossipSocket;
 import dev.laneworks.wire.NewsListener;
-import dev.laneworks.wire.NewsSocket;
 
 /**
  * Connection of this entry to the other entries.
@@ -79,7 +79,7 @@
 	private Optional<SnapshotTransfer> snapshots = Optional.empty();
 
 	/** Opened by the main thread before anything is sent on the I/O thread. */
-	private volatile NewsSocket socket;
+	private volatile GossipSocket socket;
 
 	PeerEntries(DirectSettings settings, TargetEstimates estimates, SharedRetryBudget retries, EventLoop loop,
 			RandomGenerator random, AuditSink audit) {
@@ -113,7 +113,7 @@
 	// Open the socket unless it is open; to be called before the start.
 	void listen(InetSocketAddress address) {
 		if (this.socket == null) {
-			this.socket = new NewsSocket(address, new Receiver());
+			this.socket = new GossipSocket(address, new Receiver());
 		}
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
@@ -34,7 +34,7 @@
  *
  * @since 0.2
  */
-public final class NewsSocket {
+public final class GossipSocket {
 
 	/**
 	 * Leaves room for the load update of an entry with requests at hundreds of targets.
@@ -54,7 +54,7 @@
 	 * @param listener receives the messages, on the thread of the socket
 	 * @throws LinkException if the address cannot be bound
 	 */
-	public NewsSocket(InetSocketAddress address, NewsListener listener) {
+	public GossipSocket(InetSocketAddress address, NewsListener listener) {
 		Bootstrap bootstrap = new Bootstrap().group(this.group)
 			.channel(NioDatagramChannel.class)
 			.option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
@@ -11,7 +11,7 @@
 /**
  * Callback for messages from other entries.
  * <p>
- * Called on the thread of the {@link NewsSocket}; implementations must not block.
+ * Called on the thread of the {@link GossipSocket}; implementations must not block.
  *
  * @since 0.2
  */
