--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -34,8 +34,8 @@
 import dev.laneworks.core.mechanism.Mechanism;
 import dev.laneworks.core.mechanism.Mechanisms;
 import dev.laneworks.core.poison.SuspectReport;
+import dev.laneworks.wire.GossipListener;
 import dev.laneworks.wire.GossipSocket;
-import dev.laneworks.wire.NewsListener;
 
 /**
  * Connection of this entry to the other entries.
@@ -303,32 +303,32 @@
 	}
 
 	/** Passes messages of other entries to the I/O thread. */
-	private final class Receiver implements NewsListener {
+	private final class Receiver implements GossipListener {
 
 		@Override
-		public void work(String from, LoadUpdate update) {
+		public void loadUpdateReceived(String from, LoadUpdate update) {
 			PeerEntries.this.loop.run(() -> PeerEntries.this.gossip.handleUpdate(from, update, PeerEntries.this.loop.now()));
 		}
 
 		@Override
-		public void store(String from, StoreUpdate update) {
+		public void storeUpdateReceived(String from, StoreUpdate update) {
 			PeerEntries.this.loop.run(() -> storeUpdateReceived(from, update));
 		}
 
 		@Override
-		public void question(String from, SnapshotRequest request) {
+		public void snapshotRequested(String from, SnapshotRequest request) {
 			PeerEntries.this.loop.run(() -> PeerEntries.this.snapshots.stream()
 				.flatMap((h) -> h.answer(request, PeerEntries.this.loop.now()).stream())
 				.forEach((p) -> PeerEntries.this.socket.send(socketAddress(from), p)));
 		}
 
 		@Override
-		public void suspects(List<SuspectReport> reports) {
+		public void suspectsReported(List<SuspectReport> reports) {
 			PeerEntries.this.loop.run(() -> reports.forEach(PeerEntries.this.suspectListener));
 		}
 
 		@Override
-		public void piece(String from, SnapshotChunk chunk) {
+		public void chunkReceived(String from, SnapshotChunk chunk) {
 			PeerEntries.this.loop.run(() -> PeerEntries.this.snapshots
 				.ifPresent((h) -> h.received(from, chunk, PeerEntries.this.loop.now())));
 		}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/NewsListener.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/GossipListener.java
@@ -15,40 +15,40 @@
  *
  * @since 0.2
  */
-public interface NewsListener {
+public interface GossipListener {
 
 	/**
 	 * Handle an entry's load update.
 	 * @param from the sender's address, {@code IP:PORT}
 	 * @param update the update; may be older than one received before
 	 */
-	void work(String from, LoadUpdate update);
+	void loadUpdateReceived(String from, LoadUpdate update);
 
 	/**
 	 * Handle an update of the platform's store, or a request for missed changes.
 	 * @param from the sender's address, {@code IP:PORT}
 	 * @param update the update or request
 	 */
-	void store(String from, StoreUpdate update);
+	void storeUpdateReceived(String from, StoreUpdate update);
 
 	/**
 	 * Handle a request for a snapshot of the store.
 	 * @param from the sender's address, {@code IP:PORT}
 	 * @param request the request, with the first chunk that is missing
 	 */
-	void question(String from, SnapshotRequest request);
+	void snapshotRequested(String from, SnapshotRequest request);
 
 	/**
 	 * Handle one chunk of a snapshot of the store.
 	 * @param from the sender's address, {@code IP:PORT}
 	 * @param chunk the chunk; chunks may arrive in any order
 	 */
-	void piece(String from, SnapshotChunk chunk);
+	void chunkReceived(String from, SnapshotChunk chunk);
 
 	/**
 	 * Handle reports of requests during which targets crashed.
 	 * @param reports the sender's reports, one per request
 	 */
-	void suspects(List<SuspectReport> reports);
+	void suspectsReported(List<SuspectReport> reports);
 
 }
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
@@ -54,7 +54,7 @@
 	 * @param listener receives the messages, on the thread of the socket
 	 * @throws LinkException if the address cannot be bound
 	 */
-	public GossipSocket(InetSocketAddress address, NewsListener listener) {
+	public GossipSocket(InetSocketAddress address, GossipListener listener) {
 		Bootstrap bootstrap = new Bootstrap().group(this.group)
 			.channel(NioDatagramChannel.class)
 			.option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
@@ -144,9 +144,9 @@
 	 */
 	private static final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
 
-		private final NewsListener listener;
+		private final GossipListener listener;
 
-		Receiver(NewsListener listener) {
+		Receiver(GossipListener listener) {
 			this.listener = listener;
 		}
 
@@ -160,11 +160,11 @@
 		private void dispatch(String from, Protocol.EntryDatagram datagram) {
 			try {
 				switch (datagram.getKindCase()) {
-					case WORK -> this.listener.work(from, EntryNewsCodec.decode(datagram.getWork()));
-					case STORE -> this.listener.store(from, StoreNewsCodec.decode(datagram.getStore()));
-					case QUESTION -> this.listener.question(from, StateCodec.decode(datagram.getQuestion()));
-					case PIECE -> this.listener.piece(from, StateCodec.decode(datagram.getPiece()));
-					case SUSPECTS -> this.listener.suspects(SuspectCodec.decode(datagram.getSuspects()));
+					case WORK -> this.listener.loadUpdateReceived(from, EntryNewsCodec.decode(datagram.getWork()));
+					case STORE -> this.listener.storeUpdateReceived(from, StoreNewsCodec.decode(datagram.getStore()));
+					case QUESTION -> this.listener.snapshotRequested(from, StateCodec.decode(datagram.getQuestion()));
+					case PIECE -> this.listener.chunkReceived(from, StateCodec.decode(datagram.getPiece()));
+					case SUSPECTS -> this.listener.suspectsReported(SuspectCodec.decode(datagram.getSuspects()));
 					case KIND_NOT_SET -> Logger.info("ignored an empty datagram from {}", from);
 				}
 			}
