--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
@@ -26,7 +26,7 @@
 	static byte[] encode(LoadUpdate update) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
-			.setWork(EntryNewsCodec.encode(update))
+			.setWork(LoadUpdateCodec.encode(update))
 			.build()
 			.toByteArray();
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
@@ -160,7 +160,7 @@
 		private void dispatch(String from, Protocol.EntryDatagram datagram) {
 			try {
 				switch (datagram.getKindCase()) {
-					case WORK -> this.listener.loadUpdateReceived(from, EntryNewsCodec.decode(datagram.getWork()));
+					case WORK -> this.listener.loadUpdateReceived(from, LoadUpdateCodec.decode(datagram.getWork()));
 					case STORE -> this.listener.storeUpdateReceived(from, StoreNewsCodec.decode(datagram.getStore()));
 					case QUESTION -> this.listener.snapshotRequested(from, StateCodec.decode(datagram.getQuestion()));
 					case PIECE -> this.listener.chunkReceived(from, StateCodec.decode(datagram.getPiece()));
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LoadUpdateCodec.java
@@ -13,9 +13,9 @@
 /**
  * Encodes an entry's load updates for the wire and decodes them.
  */
-final class EntryNewsCodec {
+final class LoadUpdateCodec {
 
-	private EntryNewsCodec() {
+	private LoadUpdateCodec() {
 	}
 
 	static Protocol.EntryNews encode(LoadUpdate update) {
@@ -36,9 +36,9 @@
 	}
 
 	static LoadUpdate decode(Protocol.EntryNews update) {
-		List<WorkAtTarget> work = update.getWorkList().stream().map(EntryNewsCodec::decode).toList();
-		List<RetryBudgetUsage> usage = update.getSpendingList().stream().map(EntryNewsCodec::decode).toList();
-		BackpressureUpdate signals = new BackpressureUpdate(update.getLimitsList().stream().map(EntryNewsCodec::decode).toList(),
+		List<WorkAtTarget> work = update.getWorkList().stream().map(LoadUpdateCodec::decode).toList();
+		List<RetryBudgetUsage> usage = update.getSpendingList().stream().map(LoadUpdateCodec::decode).toList();
+		BackpressureUpdate signals = new BackpressureUpdate(update.getLimitsList().stream().map(LoadUpdateCodec::decode).toList(),
 				update.getLeavingList().stream().map(TargetIncarnationFormat::parse).toList());
 		return new LoadUpdate(update.getInstance(), update.getDataCentre(), update.getIncarnation(),
 				update.getSequence(), update.getEnding(), update.getPartial(), update.getAgainMillis(), work, usage,
--- a/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
@@ -14,7 +14,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link EntryNewsCodec}.
+ * Tests for {@link LoadUpdateCodec}.
  */
 class EntryNewsCodecTests {
 
@@ -30,7 +30,7 @@
 								new RateLimitUpdate(TargetIncarnation.of("v"), OptionalDouble.of(0), 5)),
 						List.of(incarnation, TargetIncarnation.of("w"))),
 				List.of("10.0.0.1:7200"));
-		assertThat(EntryNewsCodec.decode(EntryNewsCodec.encode(update))).isEqualTo(update);
+		assertThat(LoadUpdateCodec.decode(LoadUpdateCodec.encode(update))).isEqualTo(update);
 	}
 
 }
