--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
@@ -34,7 +34,7 @@
 	static byte[] encode(StoreUpdate update) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
-			.setStore(StoreNewsCodec.encode(update))
+			.setStore(StoreUpdateCodec.encode(update))
 			.build()
 			.toByteArray();
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
@@ -161,7 +161,7 @@
 			try {
 				switch (datagram.getKindCase()) {
 					case WORK -> this.listener.loadUpdateReceived(from, LoadUpdateCodec.decode(datagram.getWork()));
-					case STORE -> this.listener.storeUpdateReceived(from, StoreNewsCodec.decode(datagram.getStore()));
+					case STORE -> this.listener.storeUpdateReceived(from, StoreUpdateCodec.decode(datagram.getStore()));
 					case QUESTION -> this.listener.snapshotRequested(from, StateCodec.decode(datagram.getQuestion()));
 					case PIECE -> this.listener.chunkReceived(from, StateCodec.decode(datagram.getPiece()));
 					case SUSPECTS -> this.listener.suspectsReported(SuspectCodec.decode(datagram.getSuspects()));
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StoreNewsCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/StoreUpdateCodec.java
@@ -11,9 +11,9 @@
 /**
  * Encodes updates of the platform's store for the wire and decodes them.
  */
-final class StoreNewsCodec {
+final class StoreUpdateCodec {
 
-	private StoreNewsCodec() {
+	private StoreUpdateCodec() {
 	}
 
 	static Protocol.StoreNews encode(StoreUpdate update) {
@@ -29,7 +29,7 @@
 	}
 
 	static StoreUpdate decode(Protocol.StoreNews update) {
-		List<StoreChange> changes = update.getChangesList().stream().map(StoreNewsCodec::decode).toList();
+		List<StoreChange> changes = update.getChangesList().stream().map(StoreUpdateCodec::decode).toList();
 		return new StoreUpdate(update.getReader(), update.getGroup(), update.getFrom(), update.getTo(), changes,
 				update.getReturning(), decode(update.getKind()));
 	}
