--- a/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/EntryDatagramCodec.java
@@ -42,7 +42,7 @@
 	static byte[] encode(SnapshotRequest request) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
-			.setQuestion(StateCodec.encode(request))
+			.setQuestion(SnapshotCodec.encode(request))
 			.build()
 			.toByteArray();
 	}
@@ -50,7 +50,7 @@
 	static byte[] encode(SnapshotChunk chunk) {
 		return Protocol.EntryDatagram.newBuilder()
 			.setProtocol(VERSION)
-			.setPiece(StateCodec.encode(chunk))
+			.setPiece(SnapshotCodec.encode(chunk))
 			.build()
 			.toByteArray();
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/StateCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/SnapshotCodec.java
@@ -10,9 +10,9 @@
  * <p>
  * Decoding throws an {@link IllegalArgumentException} if a number is out of range.
  */
-final class StateCodec {
+final class SnapshotCodec {
 
-	private StateCodec() {
+	private SnapshotCodec() {
 	}
 
 	static Protocol.StateQuestion encode(SnapshotRequest request) {
