--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/ProbedLinks.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/ProbedLinks.java
@@ -56,7 +56,7 @@
 		for (int i = 0; i < count; i++) {
 			addresses.put(TargetLinks.SEED_PREFIX + i, new InetSocketAddress("127.0.0.1", this.server.port()));
 		}
-		this.links.use(addresses, addresses.keySet());
+		this.links.setTargets(addresses, addresses.keySet());
 		while (connectedCount() < count) {
 			awaitMillis(20);
 		}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
@@ -50,7 +50,7 @@
 		this.selector = selector;
 		this.links = links;
 		this.seeds = Map.copyOf(seeds);
-		links.use(this.seeds, this.seeds.keySet());
+		links.setTargets(this.seeds, this.seeds.keySet());
 	}
 
 	// Not in the constructor, since the coordinator takes this object as its outputs.
@@ -95,7 +95,7 @@
 			.stream()
 			.map(TargetDescription::name)
 			.collect(Collectors.toSet());
-		this.links.use(addresses, permanentLinks);
+		this.links.setTargets(addresses, permanentLinks);
 		this.exchange.announce(MonotonicClock.millis());
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
@@ -160,7 +160,7 @@
 		for (TargetDescription target : configuration.targets()) {
 			addresses.put(target.name(), new InetSocketAddress(target.host(), target.port()));
 		}
-		this.otherSidecars.use(addresses, Set.of());
+		this.otherSidecars.setTargets(addresses, Set.of());
 		this.duty.put((s) -> s.applyConfiguration(configuration));
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/TargetLinks.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/TargetLinks.java
@@ -77,7 +77,7 @@
 	 * @param newAddresses the address of each target's sidecar, by the target's name
 	 * @param newPersistent the names of the targets whose links are persistent
 	 */
-	public void use(Map<String, InetSocketAddress> newAddresses, Set<String> newPersistent) {
+	public void setTargets(Map<String, InetSocketAddress> newAddresses, Set<String> newPersistent) {
 		Map<String, InetSocketAddress> addressCopy = Map.copyOf(newAddresses);
 		Set<String> persistentCopy = Set.copyOf(newPersistent);
 		this.loop.execute(() -> {
