--- a/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/ProbedLinks.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/slopes/ProbedLinks.java
@@ -47,8 +47,8 @@
 
 	ProbedLinks(int count) {
 		LinkSettings base = LinkSettings.defaults();
-		LinkSettings settings = new LinkSettings(base.maxFrameBytes(), base.silence(), PROBE_INTERVAL,
-				base.connectTimeout(), base.reconnectFirst(), base.reconnectMax(), base.idle());
+		LinkSettings settings = new LinkSettings(base.maxFrameBytes(), base.readTimeout(), PROBE_INTERVAL,
+				base.connectTimeout(), base.initialReconnectDelay(), base.maxReconnectDelay(), base.idleTimeout());
 		PeerIdentity self = new PeerIdentity("peer", "d", 1);
 		this.server = new LinkServer(this.eventLoops, new InetSocketAddress("127.0.0.1", 0), self, settings, this);
 		this.links = new TargetLinks(this.eventLoops.next(), self, settings, new SplittableRandom(1), this);
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkInitializer.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkInitializer.java
@@ -35,7 +35,7 @@
 	protected void initChannel(SocketChannel channel) {
 		channel.pipeline()
 			.addLast(new FlushConsolidationHandler(FLUSHES_CONSOLIDATED, true))
-			.addLast(new IdleStateHandler(this.settings.silence().toMillis(), 0, 0, TimeUnit.MILLISECONDS))
+			.addLast(new IdleStateHandler(this.settings.readTimeout().toMillis(), 0, 0, TimeUnit.MILLISECONDS))
 			.addLast(new LengthFieldBasedFrameDecoder(this.settings.maxFrameBytes(), 0, LENGTH_BYTES, 0, LENGTH_BYTES))
 			.addLast(new ProtobufDecoder(Protocol.Frame.getDefaultInstance()))
 			.addLast(new LengthFieldPrepender(LENGTH_BYTES))
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/TargetLinks.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/TargetLinks.java
@@ -67,7 +67,7 @@
 		this.self = self;
 		this.settings = settings;
 		this.listener = listener;
-		this.backoff = new Backoff(settings.reconnectFirst(), settings.reconnectMax(), random);
+		this.backoff = new Backoff(settings.initialReconnectDelay(), settings.maxReconnectDelay(), random);
 		loop.scheduleWithFixedDelay(this::maintainLinks, MAINTENANCE_INTERVAL_MILLIS, MAINTENANCE_INTERVAL_MILLIS,
 				TimeUnit.MILLISECONDS);
 	}
@@ -188,7 +188,7 @@
 		// Returns whether the link is unused and can be removed.
 		boolean maintain(long now) {
 			boolean isPersistent = TargetLinks.this.persistent.contains(this.target);
-			boolean isIdle = now - this.lastUsedAt > TargetLinks.this.settings.idle().toMillis();
+			boolean isIdle = now - this.lastUsedAt > TargetLinks.this.settings.idleTimeout().toMillis();
 			if (this.link != null) {
 				probe(now);
 				if (!isPersistent && isIdle) {
@@ -199,7 +199,7 @@
 			if (this.connecting) {
 				return false;
 			}
-			boolean isRecentlyUsed = now - this.lastUsedAt < TargetLinks.this.settings.silence().toMillis();
+			boolean isRecentlyUsed = now - this.lastUsedAt < TargetLinks.this.settings.readTimeout().toMillis();
 			if ((isPersistent || isRecentlyUsed) && now >= this.nextAttemptAt) {
 				tryConnect();
 			}
@@ -241,7 +241,7 @@
 		}
 
 		private void probe(long now) {
-			long interval = TargetLinks.this.settings.probeGap().toMillis();
+			long interval = TargetLinks.this.settings.probeInterval().toMillis();
 			if (now - this.lastReceivedAt >= interval && now - this.lastProbedAt >= interval) {
 				this.lastProbedAt = now;
 				this.link.send(new EntryMessage.Probe());
