--- a/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/GossipSocket.java
@@ -52,7 +52,7 @@
 	 * Create a socket and start receiving.
 	 * @param address the local address to bind to
 	 * @param listener receives the messages, on the thread of the socket
-	 * @throws LinkException if the address cannot be bound
+	 * @throws LinkBindException if the address cannot be bound
 	 */
 	public GossipSocket(InetSocketAddress address, GossipListener listener) {
 		Bootstrap bootstrap = new Bootstrap().group(this.group)
@@ -62,7 +62,7 @@
 		ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
 		if (!bound.isSuccess()) {
 			this.group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-			throw new LinkException("cannot receive datagrams at " + address, bound.cause());
+			throw new LinkBindException("cannot receive datagrams at " + address, bound.cause());
 		}
 		this.channel = bound.channel();
 	}
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkException.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkBindException.java
@@ -5,14 +5,14 @@
  *
  * @since 0.1
  */
-public class LinkException extends RuntimeException {
+public class LinkBindException extends RuntimeException {
 
 	/**
 	 * Create an exception with a message and a cause.
 	 * @param message the address and the operation that failed
 	 * @param cause the exception of the network layer
 	 */
-	public LinkException(String message, Throwable cause) {
+	public LinkBindException(String message, Throwable cause) {
 		super(message, cause);
 	}
 
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LinkServer.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LinkServer.java
@@ -26,7 +26,7 @@
 	 * @param self the identity that this process announces
 	 * @param settings the limits and timeouts of the links
 	 * @param listener receives the events of every link
-	 * @throws LinkException if the address cannot be bound
+	 * @throws LinkBindException if the address cannot be bound
 	 */
 	public LinkServer(EventLoopGroup group, InetSocketAddress address, PeerIdentity self, LinkSettings settings,
 			LinkListener listener) {
@@ -38,7 +38,7 @@
 			.childHandler(new LinkInitializer(settings, () -> new LinkHandler(self, listener)));
 		var bound = bootstrap.bind(address).awaitUninterruptibly();
 		if (!bound.isSuccess()) {
-			throw new LinkException("cannot listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
+			throw new LinkBindException("cannot listen on " + address + ": " + bound.cause().getMessage(), bound.cause());
 		}
 		this.channel = bound.channel();
 	}
