--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
@@ -13,7 +13,7 @@
 import dev.laneworks.core.dispatch.SendParameters;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.entry.caller.CallTimes;
-import dev.laneworks.runtime.http.HttpCaller;
+import dev.laneworks.runtime.http.AsyncHttpClient;
 
 /**
  * Open calls with their connections, on which the decisions of the {@link Dispatcher} are
@@ -23,7 +23,7 @@
 
 	private final EventLoop loop;
 
-	private final HttpCaller http;
+	private final AsyncHttpClient http;
 
 	private final HeaderTranslation translation;
 
@@ -37,7 +37,7 @@
 
 	private long lastCallNumber;
 
-	DirectCalls(EventLoop loop, HttpCaller http, HeaderTranslation translation, EngineOrders engines, CallTimes times) {
+	DirectCalls(EventLoop loop, AsyncHttpClient http, HeaderTranslation translation, EngineOrders engines, CallTimes times) {
 		this.times = times;
 		this.loop = loop;
 		this.http = http;
@@ -72,7 +72,7 @@
 		openCall.attempts.put(attempt, targetAttempt);
 		this.loop.run(() -> {
 			if (!targetAttempt.isAbandoned()) {
-				targetAttempt.use(this.http.call(targetAttempt.server(), targetAttempt::atConnection, targetAttempt));
+				targetAttempt.use(this.http.send(targetAttempt.server(), targetAttempt::atConnection, targetAttempt));
 			}
 		});
 	}
@@ -127,7 +127,7 @@
 				this.dispatcher.probed(target, refused, this.loop.now());
 				this.loop.runTimers();
 			});
-			this.http.call(URI.create("http://" + target.address()), check::atConnection, check);
+			this.http.send(URI.create("http://" + target.address()), check::atConnection, check);
 		});
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -35,8 +35,8 @@
 import dev.laneworks.core.time.Timers;
 import dev.laneworks.entry.caller.CallTimes;
 import dev.laneworks.runtime.audit.AuditTrail;
+import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.DefaultBackgroundWork;
-import dev.laneworks.runtime.http.HttpCaller;
 import dev.laneworks.runtime.http.IoWorker;
 import dev.laneworks.runtime.log.LogLine;
 import dev.laneworks.runtime.operator.OperatorServer;
@@ -181,7 +181,7 @@
 		XnioIoThread thread = this.io.worker().getIoThread();
 		Timers timers = new Timers();
 		this.loop = new EventLoop(thread, timers, clock);
-		HttpCaller http = new HttpCaller(this.io.worker(), this.io.buffers());
+		AsyncHttpClient http = new AsyncHttpClient(this.io.worker(), this.io.buffers());
 		PlatformAdapter adapter = platform.create(settings, http, thread);
 		DirectCalls calls = new DirectCalls(this.loop, http, adapter.headers(), adapter.engines(),
 				new CallTimes(this.metrics));
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlatformAdapter.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlatformAdapter.java
@@ -1,6 +1,6 @@
 package dev.laneworks.entry.direct;
 
-import dev.laneworks.runtime.http.HttpCaller;
+import dev.laneworks.runtime.http.AsyncHttpClient;
 import org.xnio.XnioIoThread;
 
 /**
@@ -26,7 +26,7 @@
 		 * @param thread the I/O thread that answers are delivered on
 		 * @return the adapter
 		 */
-		PlatformAdapter create(DirectSettings settings, HttpCaller http, XnioIoThread thread);
+		PlatformAdapter create(DirectSettings settings, AsyncHttpClient http, XnioIoThread thread);
 
 	}
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpCaller.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/AsyncHttpClient.java
@@ -22,7 +22,7 @@
  *
  * @since 0.1
  */
-public final class HttpCaller {
+public final class AsyncHttpClient {
 
 	private final XnioWorker worker;
 
@@ -33,7 +33,7 @@
 	 * @param worker the I/O threads that serve the connections
 	 * @param buffers the buffer pool for request and response bodies
 	 */
-	public HttpCaller(XnioWorker worker, ByteBufferPool buffers) {
+	public AsyncHttpClient(XnioWorker worker, ByteBufferPool buffers) {
 		this.worker = worker;
 		this.buffers = buffers;
 	}
@@ -44,8 +44,8 @@
 	 * @param listener receives the response
 	 * @return a handle for cancelling the call
 	 */
-	public HttpExchange call(HttpCall call, HttpResponseListener listener) {
-		return call(call.server(), () -> Optional.of(call), listener);
+	public HttpExchange send(HttpCall call, HttpResponseListener listener) {
+		return send(call.server(), () -> Optional.of(call), listener);
 	}
 
 	/**
@@ -56,7 +56,7 @@
 	 * @param listener receives the response
 	 * @return a handle for cancelling the call
 	 */
-	public HttpExchange call(URI server, Supplier<Optional<HttpCall>> callSupplier, HttpResponseListener listener) {
+	public HttpExchange send(URI server, Supplier<Optional<HttpCall>> callSupplier, HttpResponseListener listener) {
 		HttpExchange exchange = new HttpExchange(callSupplier, listener, this.buffers);
 		OptionMap options = OptionMap.builder()
 			.set(UndertowOptions.ENABLE_HTTP2, false)
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
@@ -19,17 +19,17 @@
  */
 public final class BoundedCalls {
 
-	private final HttpCaller caller;
+	private final AsyncHttpClient client;
 
 	private final XnioExecutor timer;
 
 	/**
 	 * Create a client.
-	 * @param caller the HTTP client that sends the requests
+	 * @param client the HTTP client that sends the requests
 	 * @param timer the executor for the timeouts
 	 */
-	public BoundedCalls(HttpCaller caller, XnioExecutor timer) {
-		this.caller = caller;
+	public BoundedCalls(AsyncHttpClient client, XnioExecutor timer) {
+		this.client = client;
 		this.timer = timer;
 	}
 
@@ -43,7 +43,7 @@
 	public void call(HttpCall call, int maxBytes, Duration timeout,
 			Consumer<Either<IOException, WholeResponse.Received>> receiver) {
 		AtomicBoolean finished = new AtomicBoolean();
-		HttpExchange exchange = this.caller.call(call, new WholeResponse(maxBytes, (r) -> {
+		HttpExchange exchange = this.client.send(call, new WholeResponse(maxBytes, (r) -> {
 			if (finished.compareAndSet(false, true)) {
 				receiver.accept(r);
 			}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
@@ -8,9 +8,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.laneworks.core.peer.ConfigurationService;
 import dev.laneworks.core.peer.PublishedDocument;
+import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.BoundedCalls;
 import dev.laneworks.runtime.http.HttpCall;
-import dev.laneworks.runtime.http.HttpCaller;
 import dev.laneworks.runtime.http.JsonText;
 import dev.laneworks.runtime.http.WholeResponse;
 import io.vavr.control.Either;
@@ -41,14 +41,14 @@
 
 	/**
 	 * Create a client.
-	 * @param caller the HTTP client that sends the requests
+	 * @param client the HTTP client that sends the requests
 	 * @param timer the executor for the timeouts of requests
 	 * @param server the URI of the service
 	 * @param wait the longest time that the service may delay the answer to a watch, in
 	 * whole seconds
 	 */
-	public HttpConfigurationService(HttpCaller caller, XnioExecutor timer, URI server, Duration wait) {
-		this.calls = new BoundedCalls(caller, timer);
+	public HttpConfigurationService(AsyncHttpClient client, XnioExecutor timer, URI server, Duration wait) {
+		this.calls = new BoundedCalls(client, timer);
 		this.server = server;
 		this.wait = wait;
 	}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.HttpCall;
-import dev.laneworks.runtime.http.HttpCaller;
 import dev.laneworks.runtime.http.JsonText;
 import dev.laneworks.runtime.http.WholeResponse;
 import io.vavr.control.Either;
@@ -25,23 +25,23 @@
 
 	private static final int OK = 200;
 
-	private final HttpCaller caller;
+	private final AsyncHttpClient client;
 
 	private final URI server;
 
 	/**
 	 * Create a client.
-	 * @param caller the HTTP client that sends the requests
+	 * @param client the HTTP client that sends the requests
 	 * @param server the URI of the platform
 	 */
-	public HttpLiveList(HttpCaller caller, URI server) {
-		this.caller = caller;
+	public HttpLiveList(AsyncHttpClient client, URI server) {
+		this.client = client;
 		this.server = server;
 	}
 
 	@Override
 	public void read(String name, Consumer<Either<IOException, List<LiveInstance>>> receiver) {
-		this.caller.call(HttpCall.of(this.server, "GET", "/instances?name=" + name),
+		this.client.send(HttpCall.of(this.server, "GET", "/instances?name=" + name),
 				new WholeResponse(MAX_BODY_BYTES, (r) -> receiver.accept(r.flatMap(HttpLiveList::parseInstances))));
 	}
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ProcessParts.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ProcessParts.java
@@ -15,7 +15,7 @@
 import dev.laneworks.runtime.audit.AuditTrail;
 import dev.laneworks.runtime.duty.Duty;
 import dev.laneworks.runtime.duty.Supervisor;
-import dev.laneworks.runtime.http.HttpCaller;
+import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.IoWorker;
 import dev.laneworks.runtime.log.LogLine;
 import dev.laneworks.runtime.platform.HttpConfigurationService;
@@ -43,7 +43,7 @@
 
 	private final IoWorker io;
 
-	private final HttpCaller caller;
+	private final AsyncHttpClient client;
 
 	private final AuditTrail audit;
 
@@ -64,7 +64,7 @@
 	public ProcessParts(String name, CommonSettings settings, int ioThreads) {
 		this.settings = settings;
 		this.io = IoWorker.start(ioThreads, TASK_THREADS);
-		this.caller = new HttpCaller(this.io.worker(), this.io.buffers());
+		this.client = new AsyncHttpClient(this.io.worker(), this.io.buffers());
 		this.audit = new AuditTrail(settings.auditCapacity());
 		this.supervisor = new Supervisor(name, MAX_FAILURES, FAILURE_WINDOW, (ex) -> end(ExitCode.GAVE_UP));
 	}
@@ -81,8 +81,8 @@
 	 * Return the HTTP client of the process.
 	 * @return the client, which runs on the I/O threads
 	 */
-	public HttpCaller caller() {
-		return this.caller;
+	public AsyncHttpClient caller() {
+		return this.client;
 	}
 
 	/**
@@ -114,7 +114,7 @@
 	 * @return a new client
 	 */
 	public ConfigurationService configurationService() {
-		return new HttpConfigurationService(this.caller, this.io.worker().getIoThread(), this.settings.platform(),
+		return new HttpConfigurationService(this.client, this.io.worker().getIoThread(), this.settings.platform(),
 				this.settings.watchWait());
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
@@ -11,8 +11,8 @@
 import dev.laneworks.core.message.OperationKind;
 import dev.laneworks.core.message.ServiceReply;
 import dev.laneworks.core.message.SidecarRequest;
+import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.HttpCall;
-import dev.laneworks.runtime.http.HttpCaller;
 import dev.laneworks.runtime.http.HttpExchange;
 import dev.laneworks.runtime.http.HttpHeader;
 import dev.laneworks.runtime.http.WholeResponse;
@@ -36,7 +36,7 @@
 
 	private static final String GENERATIONS = "/v1/generations/";
 
-	private final HttpCaller caller;
+	private final AsyncHttpClient client;
 
 	private final URI server;
 
@@ -46,12 +46,12 @@
 
 	/**
 	 * Create a client of one target.
-	 * @param caller sends the requests
+	 * @param client sends the requests
 	 * @param server the base URI of the target
 	 * @param events receives the events of all generations
 	 */
-	public HttpTargetClient(HttpCaller caller, URI server, TargetEvents events) {
-		this.caller = caller;
+	public HttpTargetClient(AsyncHttpClient client, URI server, TargetEvents events) {
+		this.client = client;
 		this.server = server;
 		this.events = new StreamRemovingEvents(events);
 	}
@@ -97,12 +97,12 @@
 	@Override
 	public void lookUp(String generation) {
 		HttpCall call = HttpCall.of(this.server, "GET", GENERATIONS + generation + "/state");
-		this.caller.call(call, new WholeResponse(MAX_SERVICE_BODY,
+		this.client.send(call, new WholeResponse(MAX_SERVICE_BODY,
 				(r) -> this.events.onLookUp(generation, r.isRight() && r.get().status() == OK)));
 	}
 
 	private void stream(String generation, HttpCall call, long offset) {
-		HttpExchange exchange = this.caller.call(call, new EngineStream(generation, offset, this.events));
+		HttpExchange exchange = this.client.send(call, new EngineStream(generation, offset, this.events));
 		HttpExchange previous = this.streams.put(generation, exchange);
 		if (previous != null) {
 			previous.abandon();
@@ -116,11 +116,11 @@
 				: List.of(new HttpHeader("X-Request-Id", generation));
 		HttpCall call = new HttpCall(this.server, request.method(), request.path(), headers, request.body());
 		ServiceAnswer answer = new ServiceAnswer(generation);
-		this.caller.call(call, answer);
+		this.client.send(call, answer);
 	}
 
 	private void control(String method, String path) {
-		this.caller.call(new HttpCall(this.server, method, path, List.of(), NO_BODY),
+		this.client.send(new HttpCall(this.server, method, path, List.of(), NO_BODY),
 				new WholeResponse(MAX_SERVICE_BODY, (r) -> {
 				}));
 	}
