--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
@@ -13,8 +13,8 @@
 import dev.laneworks.core.dispatch.ConnectFault;
 import dev.laneworks.core.dispatch.Dispatcher;
 import dev.laneworks.core.dispatch.SendParameters;
-import dev.laneworks.runtime.http.HttpCall;
 import dev.laneworks.runtime.http.HttpExchange;
+import dev.laneworks.runtime.http.HttpRequest;
 import dev.laneworks.runtime.http.HttpResponseHead;
 import dev.laneworks.runtime.http.HttpResponseListener;
 
@@ -96,7 +96,7 @@
 
 	// Return the request to send, or empty if the attempt was abandoned or its time is
 	// over.
-	Optional<HttpCall> atConnection() {
+	Optional<HttpRequest> atConnection() {
 		this.loop.begin();
 		if (this.abandoned) {
 			return Optional.empty();
@@ -106,7 +106,7 @@
 		if (remainingMillis.isEmpty()) {
 			return Optional.empty();
 		}
-		return Optional.of(new HttpCall(
+		return Optional.of(new HttpRequest(
 				server(), this.request.method(), this.request.uri(), this.translation
 					.forTarget(this.request.forwardedHeaders(), this.target, this.parameters, remainingMillis.getAsLong()),
 				this.request.body()));
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetCheck.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetCheck.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-import dev.laneworks.runtime.http.HttpCall;
+import dev.laneworks.runtime.http.HttpRequest;
 import dev.laneworks.runtime.http.HttpResponseHead;
 import dev.laneworks.runtime.http.HttpResponseListener;
 
@@ -27,7 +27,7 @@
 	}
 
 	// Close the established connection without sending a request.
-	Optional<HttpCall> atConnection() {
+	Optional<HttpRequest> atConnection() {
 		this.refused.accept(false);
 		return Optional.empty();
 	}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/AsyncHttpClient.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/AsyncHttpClient.java
@@ -40,12 +40,12 @@
 
 	/**
 	 * Send a request.
-	 * @param call the request
+	 * @param request the request
 	 * @param listener receives the response
 	 * @return a handle for cancelling the call
 	 */
-	public HttpExchange send(HttpCall call, HttpResponseListener listener) {
-		return send(call.server(), () -> Optional.of(call), listener);
+	public HttpExchange send(HttpRequest request, HttpResponseListener listener) {
+		return send(request.server(), () -> Optional.of(request), listener);
 	}
 
 	/**
@@ -56,7 +56,7 @@
 	 * @param listener receives the response
 	 * @return a handle for cancelling the call
 	 */
-	public HttpExchange send(URI server, Supplier<Optional<HttpCall>> callSupplier, HttpResponseListener listener) {
+	public HttpExchange send(URI server, Supplier<Optional<HttpRequest>> callSupplier, HttpResponseListener listener) {
 		HttpExchange exchange = new HttpExchange(callSupplier, listener, this.buffers);
 		OptionMap options = OptionMap.builder()
 			.set(UndertowOptions.ENABLE_HTTP2, false)
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
@@ -35,15 +35,15 @@
 
 	/**
 	 * Send a request.
-	 * @param call the request
+	 * @param request the request
 	 * @param maxBytes the maximum size of the response body, in bytes
 	 * @param timeout the timeout for the complete response
 	 * @param receiver receives the complete response or the reason of the failure
 	 */
-	public void call(HttpCall call, int maxBytes, Duration timeout,
+	public void call(HttpRequest request, int maxBytes, Duration timeout,
 			Consumer<Either<IOException, WholeResponse.Received>> receiver) {
 		AtomicBoolean finished = new AtomicBoolean();
-		HttpExchange exchange = this.client.send(call, new WholeResponse(maxBytes, (r) -> {
+		HttpExchange exchange = this.client.send(request, new WholeResponse(maxBytes, (r) -> {
 			if (finished.compareAndSet(false, true)) {
 				receiver.accept(r);
 			}
@@ -52,7 +52,7 @@
 			if (finished.compareAndSet(false, true)) {
 				exchange.abandon();
 				receiver.accept(Either
-					.left(new IOException(call.server() + " did not answer within " + timeout.toMillis() + " ms")));
+					.left(new IOException(request.server() + " did not answer within " + timeout.toMillis() + " ms")));
 			}
 		}, timeout.toMillis(), TimeUnit.MILLISECONDS);
 	}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpExchange.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpExchange.java
@@ -35,7 +35,7 @@
  */
 public final class HttpExchange {
 
-	private final Supplier<Optional<HttpCall>> callSupplier;
+	private final Supplier<Optional<HttpRequest>> callSupplier;
 
 	private final HttpResponseListener listener;
 
@@ -47,9 +47,9 @@
 
 	private volatile ClientConnection connection;
 
-	private HttpCall call;
+	private HttpRequest call;
 
-	HttpExchange(Supplier<Optional<HttpCall>> callSupplier, HttpResponseListener listener, ByteBufferPool buffers) {
+	HttpExchange(Supplier<Optional<HttpRequest>> callSupplier, HttpResponseListener listener, ByteBufferPool buffers) {
 		this.callSupplier = callSupplier;
 		this.listener = listener;
 		this.buffers = buffers;
@@ -105,7 +105,7 @@
 			IoUtils.safeClose(open);
 			return;
 		}
-		Optional<HttpCall> supplied = this.callSupplier.get();
+		Optional<HttpRequest> supplied = this.callSupplier.get();
 		if (supplied.isEmpty()) {
 			this.finished.set(true);
 			IoUtils.safeClose(open);
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpCall.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpRequest.java
@@ -14,11 +14,11 @@
  * @param body the body, which may be empty; not copied, must not be modified
  * @since 0.1
  */
-public record HttpCall(URI server, String method, String path, List<HttpHeader> headers, byte[] body) {
+public record HttpRequest(URI server, String method, String path, List<HttpHeader> headers, byte[] body) {
 
 	private static final byte[] NO_BODY = new byte[0];
 
-	public HttpCall {
+	public HttpRequest {
 		Objects.requireNonNull(server, "server must not be null");
 		Objects.requireNonNull(method, "method must not be null");
 		Objects.requireNonNull(path, "path must not be null");
@@ -32,8 +32,8 @@
 	 * @param path the path and query
 	 * @return the request
 	 */
-	public static HttpCall of(URI server, String method, String path) {
-		return new HttpCall(server, method, path, List.of(), NO_BODY);
+	public static HttpRequest of(URI server, String method, String path) {
+		return new HttpRequest(server, method, path, List.of(), NO_BODY);
 	}
 
 }
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
@@ -10,7 +10,7 @@
 import dev.laneworks.core.peer.PublishedDocument;
 import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.BoundedCalls;
-import dev.laneworks.runtime.http.HttpCall;
+import dev.laneworks.runtime.http.HttpRequest;
 import dev.laneworks.runtime.http.JsonText;
 import dev.laneworks.runtime.http.WholeResponse;
 import io.vavr.control.Either;
@@ -56,7 +56,7 @@
 	@Override
 	public void watch(long afterVersion, Consumer<Either<IOException, PublishedDocument>> receiver) {
 		String path = "/configuration?after=" + afterVersion + "&wait=" + this.wait.toSeconds();
-		this.calls.call(HttpCall.of(this.server, "GET", path), MAX_BODY_BYTES, this.wait.plus(TIMEOUT_MARGIN),
+		this.calls.call(HttpRequest.of(this.server, "GET", path), MAX_BODY_BYTES, this.wait.plus(TIMEOUT_MARGIN),
 				(r) -> receiver.accept(r.flatMap(HttpConfigurationService::parseDocument)));
 	}
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
@@ -8,7 +8,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dev.laneworks.runtime.http.AsyncHttpClient;
-import dev.laneworks.runtime.http.HttpCall;
+import dev.laneworks.runtime.http.HttpRequest;
 import dev.laneworks.runtime.http.JsonText;
 import dev.laneworks.runtime.http.WholeResponse;
 import io.vavr.control.Either;
@@ -41,7 +41,7 @@
 
 	@Override
 	public void read(String name, Consumer<Either<IOException, List<LiveInstance>>> receiver) {
-		this.client.send(HttpCall.of(this.server, "GET", "/instances?name=" + name),
+		this.client.send(HttpRequest.of(this.server, "GET", "/instances?name=" + name),
 				new WholeResponse(MAX_BODY_BYTES, (r) -> receiver.accept(r.flatMap(HttpLiveList::parseInstances))));
 	}
 
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/LoopbackTestSupport.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/LoopbackTestSupport.java
@@ -31,8 +31,8 @@
 		this.io.worker().shutdownNow();
 	}
 
-	HttpCall get() {
-		return HttpCall.of(URI.create("http://127.0.0.1:" + this.server.getLocalPort()), "GET", "/");
+	HttpRequest get() {
+		return HttpRequest.of(URI.create("http://127.0.0.1:" + this.server.getLocalPort()), "GET", "/");
 	}
 
 }
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
@@ -12,9 +12,9 @@
 import dev.laneworks.core.message.ServiceReply;
 import dev.laneworks.core.message.SidecarRequest;
 import dev.laneworks.runtime.http.AsyncHttpClient;
-import dev.laneworks.runtime.http.HttpCall;
 import dev.laneworks.runtime.http.HttpExchange;
 import dev.laneworks.runtime.http.HttpHeader;
+import dev.laneworks.runtime.http.HttpRequest;
 import dev.laneworks.runtime.http.WholeResponse;
 import io.vavr.control.Either;
 
@@ -65,14 +65,14 @@
 		List<HttpHeader> headers = List.of(new HttpHeader("Content-Type", "application/json"),
 				new HttpHeader("X-Request-Id", generation),
 				new HttpHeader("X-Priority", String.valueOf(request.priority())));
-		HttpCall call = new HttpCall(this.server, request.method(), request.path(), headers, request.body());
+		HttpRequest call = new HttpRequest(this.server, request.method(), request.path(), headers, request.body());
 		stream(generation, call, 0);
 	}
 
 	@Override
 	public void reattach(String generation, long offset) {
 		String path = GENERATIONS + generation + "?offset=" + offset;
-		stream(generation, HttpCall.of(this.server, "GET", path), offset);
+		stream(generation, HttpRequest.of(this.server, "GET", path), offset);
 	}
 
 	@Override
@@ -96,13 +96,13 @@
 
 	@Override
 	public void lookUp(String generation) {
-		HttpCall call = HttpCall.of(this.server, "GET", GENERATIONS + generation + "/state");
-		this.client.send(call, new WholeResponse(MAX_SERVICE_BODY,
+		HttpRequest request = HttpRequest.of(this.server, "GET", GENERATIONS + generation + "/state");
+		this.client.send(request, new WholeResponse(MAX_SERVICE_BODY,
 				(r) -> this.events.onLookUp(generation, r.isRight() && r.get().status() == OK)));
 	}
 
-	private void stream(String generation, HttpCall call, long offset) {
-		HttpExchange exchange = this.client.send(call, new EngineStream(generation, offset, this.events));
+	private void stream(String generation, HttpRequest request, long offset) {
+		HttpExchange exchange = this.client.send(request, new EngineStream(generation, offset, this.events));
 		HttpExchange previous = this.streams.put(generation, exchange);
 		if (previous != null) {
 			previous.abandon();
@@ -114,13 +114,13 @@
 				? List.of(new HttpHeader("Content-Type", "application/octet-stream"),
 						new HttpHeader("X-Request-Id", generation))
 				: List.of(new HttpHeader("X-Request-Id", generation));
-		HttpCall call = new HttpCall(this.server, request.method(), request.path(), headers, request.body());
+		HttpRequest call = new HttpRequest(this.server, request.method(), request.path(), headers, request.body());
 		ServiceAnswer answer = new ServiceAnswer(generation);
 		this.client.send(call, answer);
 	}
 
 	private void control(String method, String path) {
-		this.client.send(new HttpCall(this.server, method, path, List.of(), NO_BODY),
+		this.client.send(new HttpRequest(this.server, method, path, List.of(), NO_BODY),
 				new WholeResponse(MAX_SERVICE_BODY, (r) -> {
 				}));
 	}
