--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
@@ -86,7 +86,7 @@
 	void abandon() {
 		this.abandoned = true;
 		if (this.exchange != null) {
-			this.exchange.reset();
+			this.exchange.cancelWithReset();
 		}
 	}
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
@@ -50,7 +50,7 @@
 		}));
 		this.timer.executeAfter(() -> {
 			if (finished.compareAndSet(false, true)) {
-				exchange.abandon();
+				exchange.cancel();
 				receiver.accept(Either
 					.left(new IOException(request.server() + " did not answer within " + timeout.toMillis() + " ms")));
 			}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpExchange.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpExchange.java
@@ -58,18 +58,18 @@
 	/**
 	 * Cancel the call without further calls of its listener, and close the connection.
 	 */
-	public void abandon() {
+	public void cancel() {
 		cancel(IoUtils::safeClose);
 	}
 
 	/**
-	 * Cancel the call as {@link #abandon()} does, but reset the connection.
+	 * Cancel the call as {@link #cancel()} does, but reset the connection.
 	 * <p>
 	 * A server may treat a plain close as the end of the request only and detect the loss
 	 * at its next write. A reset stops an execution that writes nothing yet, so that it
 	 * does not continue beside its replacement.
 	 */
-	public void reset() {
+	public void cancelWithReset() {
 		cancel(HttpExchange::closeWithReset);
 	}
 
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/HttpExchangeTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/HttpExchangeTests.java
@@ -21,7 +21,7 @@
 		HttpExchange exchange = call();
 		try (Socket accepted = this.server.accept()) {
 			assertThat(accepted.getInputStream().read()).isEqualTo('G');
-			runOnIoThread(exchange::reset);
+			runOnIoThread(exchange::cancelWithReset);
 			assertThrows(SocketException.class, () -> accepted.getInputStream().readAllBytes());
 		}
 	}
@@ -31,7 +31,7 @@
 		HttpExchange exchange = call();
 		try (Socket accepted = this.server.accept()) {
 			assertThat(accepted.getInputStream().read()).isEqualTo('G');
-			runOnIoThread(exchange::abandon);
+			runOnIoThread(exchange::cancel);
 			assertThat(new String(accepted.getInputStream().readAllBytes())).startsWith("ET / HTTP/1.1");
 		}
 	}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
@@ -79,7 +79,7 @@
 	public void cancel(String generation) {
 		HttpExchange stream = this.streams.remove(generation);
 		if (stream != null) {
-			stream.abandon();
+			stream.cancel();
 		}
 		control("DELETE", GENERATIONS + generation);
 	}
@@ -105,7 +105,7 @@
 		HttpExchange exchange = this.client.send(request, new EngineStream(generation, offset, this.events));
 		HttpExchange previous = this.streams.put(generation, exchange);
 		if (previous != null) {
-			previous.abandon();
+			previous.cancel();
 		}
 	}
 
