--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BoundedCalls.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/TimedHttpClient.java
@@ -17,7 +17,7 @@
  *
  * @since 0.2
  */
-public final class BoundedCalls {
+public final class TimedHttpClient {
 
 	private final AsyncHttpClient client;
 
@@ -28,7 +28,7 @@
 	 * @param client the HTTP client that sends the requests
 	 * @param timer the executor for the timeouts
 	 */
-	public BoundedCalls(AsyncHttpClient client, XnioExecutor timer) {
+	public TimedHttpClient(AsyncHttpClient client, XnioExecutor timer) {
 		this.client = client;
 		this.timer = timer;
 	}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
@@ -9,9 +9,9 @@
 import dev.laneworks.core.peer.ConfigurationService;
 import dev.laneworks.core.peer.PublishedDocument;
 import dev.laneworks.runtime.http.AsyncHttpClient;
-import dev.laneworks.runtime.http.BoundedCalls;
 import dev.laneworks.runtime.http.HttpRequest;
 import dev.laneworks.runtime.http.JsonText;
+import dev.laneworks.runtime.http.TimedHttpClient;
 import dev.laneworks.runtime.http.WholeResponse;
 import io.vavr.control.Either;
 import org.xnio.XnioExecutor;
@@ -33,7 +33,7 @@
 
 	private static final Duration TIMEOUT_MARGIN = Duration.ofSeconds(3);
 
-	private final BoundedCalls calls;
+	private final TimedHttpClient client;
 
 	private final URI server;
 
@@ -48,7 +48,7 @@
 	 * whole seconds
 	 */
 	public HttpConfigurationService(AsyncHttpClient client, XnioExecutor timer, URI server, Duration wait) {
-		this.calls = new BoundedCalls(client, timer);
+		this.client = new TimedHttpClient(client, timer);
 		this.server = server;
 		this.wait = wait;
 	}
@@ -56,7 +56,7 @@
 	@Override
 	public void watch(long afterVersion, Consumer<Either<IOException, PublishedDocument>> receiver) {
 		String path = "/configuration?after=" + afterVersion + "&wait=" + this.wait.toSeconds();
-		this.calls.call(HttpRequest.of(this.server, "GET", path), MAX_BODY_BYTES, this.wait.plus(TIMEOUT_MARGIN),
+		this.client.call(HttpRequest.of(this.server, "GET", path), MAX_BODY_BYTES, this.wait.plus(TIMEOUT_MARGIN),
 				(r) -> receiver.accept(r.flatMap(HttpConfigurationService::parseDocument)));
 	}
 
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/BoundedCallsTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/BoundedCallsTests.java
@@ -14,14 +14,14 @@
 import static com.google.common.truth.Truth.assertThat;
 
 /**
- * Tests for {@link BoundedCalls}.
+ * Tests for {@link TimedHttpClient}.
  */
 @Timeout(60)
 class BoundedCallsTests extends LoopbackTestSupport {
 
 	private final BlockingQueue<Either<IOException, WholeResponse.Received>> answers = new ArrayBlockingQueue<>(10);
 
-	private final BoundedCalls calls = new BoundedCalls(this.caller, this.io.worker().getIoThread());
+	private final TimedHttpClient client = new TimedHttpClient(this.caller, this.io.worker().getIoThread());
 
 	@Test
 	void unansweredCallTimesOutAndClosesConnection() throws Exception {
@@ -45,7 +45,7 @@
 	}
 
 	private void call(Duration timeout) {
-		this.calls.call(get(), 100, timeout, this.answers::add);
+		this.client.call(get(), 100, timeout, this.answers::add);
 	}
 
 }
