--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/WholeResponse.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/ResponseCollector.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public final class WholeResponse implements HttpResponseListener {
+public final class ResponseCollector implements HttpResponseListener {
 
 	private final int maxBytes;
 
@@ -33,7 +33,7 @@
 	 * @param maxBytes the maximum size of the body, in bytes
 	 * @param receiver receives the response or the reason of the failure
 	 */
-	public WholeResponse(int maxBytes, Consumer<Either<IOException, Received>> receiver) {
+	public ResponseCollector(int maxBytes, Consumer<Either<IOException, Received>> receiver) {
 		this(maxBytes, receiver, () -> {
 		});
 	}
@@ -44,7 +44,7 @@
 	 * @param receiver receives the response or the reason of the failure
 	 * @param progress runs when the head or a part of the body has arrived
 	 */
-	public WholeResponse(int maxBytes, Consumer<Either<IOException, Received>> receiver, Runnable progress) {
+	public ResponseCollector(int maxBytes, Consumer<Either<IOException, Received>> receiver, Runnable progress) {
 		this.maxBytes = maxBytes;
 		this.receiver = receiver;
 		this.progress = progress;
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
@@ -11,8 +11,8 @@
 import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.HttpRequest;
 import dev.laneworks.runtime.http.JsonText;
+import dev.laneworks.runtime.http.ResponseCollector;
 import dev.laneworks.runtime.http.TimedHttpClient;
-import dev.laneworks.runtime.http.WholeResponse;
 import io.vavr.control.Either;
 import org.xnio.XnioExecutor;
 
@@ -60,7 +60,7 @@
 				(r) -> receiver.accept(r.flatMap(HttpConfigurationService::parseDocument)));
 	}
 
-	private static Either<IOException, PublishedDocument> parseDocument(WholeResponse.Received received) {
+	private static Either<IOException, PublishedDocument> parseDocument(ResponseCollector.Received received) {
 		if (received.status() != OK) {
 			return Either.left(new IOException("the configuration service returned status " + received.status()));
 		}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
@@ -10,7 +10,7 @@
 import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.HttpRequest;
 import dev.laneworks.runtime.http.JsonText;
-import dev.laneworks.runtime.http.WholeResponse;
+import dev.laneworks.runtime.http.ResponseCollector;
 import io.vavr.control.Either;
 
 /**
@@ -42,10 +42,10 @@
 	@Override
 	public void read(String name, Consumer<Either<IOException, List<LiveInstance>>> receiver) {
 		this.client.send(HttpRequest.of(this.server, "GET", "/instances?name=" + name),
-				new WholeResponse(MAX_BODY_BYTES, (r) -> receiver.accept(r.flatMap(HttpLiveList::parseInstances))));
+				new ResponseCollector(MAX_BODY_BYTES, (r) -> receiver.accept(r.flatMap(HttpLiveList::parseInstances))));
 	}
 
-	private static Either<IOException, List<LiveInstance>> parseInstances(WholeResponse.Received received) {
+	private static Either<IOException, List<LiveInstance>> parseInstances(ResponseCollector.Received received) {
 		if (received.status() != OK) {
 			return Either.left(new IOException("the live list returned status " + received.status()));
 		}
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/ForwardingResponse.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/ForwardingResponse.java
@@ -5,7 +5,7 @@
 
 import dev.laneworks.runtime.http.HttpResponseHead;
 import dev.laneworks.runtime.http.HttpResponseListener;
-import dev.laneworks.runtime.http.WholeResponse;
+import dev.laneworks.runtime.http.ResponseCollector;
 import io.vavr.control.Either;
 
 /**
@@ -15,9 +15,9 @@
 
 	private static final int MAX_BYTES = 4 << 20;
 
-	private final WholeResponse whole = new WholeResponse(MAX_BYTES, (r) -> onWhole(r, true));
+	private final ResponseCollector whole = new ResponseCollector(MAX_BYTES, (r) -> onWhole(r, true));
 
-	abstract void onWhole(Either<IOException, WholeResponse.Received> received, boolean sent);
+	abstract void onWhole(Either<IOException, ResponseCollector.Received> received, boolean sent);
 
 	@Override
 	public void onNotSent(IOException cause) {
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
@@ -15,7 +15,7 @@
 import dev.laneworks.runtime.http.HttpExchange;
 import dev.laneworks.runtime.http.HttpHeader;
 import dev.laneworks.runtime.http.HttpRequest;
-import dev.laneworks.runtime.http.WholeResponse;
+import dev.laneworks.runtime.http.ResponseCollector;
 import io.vavr.control.Either;
 
 /**
@@ -97,7 +97,7 @@
 	@Override
 	public void lookUp(String generation) {
 		HttpRequest request = HttpRequest.of(this.server, "GET", GENERATIONS + generation + "/state");
-		this.client.send(request, new WholeResponse(MAX_SERVICE_BODY,
+		this.client.send(request, new ResponseCollector(MAX_SERVICE_BODY,
 				(r) -> this.events.onLookUp(generation, r.isRight() && r.get().status() == OK)));
 	}
 
@@ -121,7 +121,7 @@
 
 	private void control(String method, String path) {
 		this.client.send(new HttpRequest(this.server, method, path, List.of(), NO_BODY),
-				new WholeResponse(MAX_SERVICE_BODY, (r) -> {
+				new ResponseCollector(MAX_SERVICE_BODY, (r) -> {
 				}));
 	}
 
@@ -137,12 +137,12 @@
 		}
 
 		@Override
-		void onWhole(Either<IOException, WholeResponse.Received> received, boolean sent) {
+		void onWhole(Either<IOException, ResponseCollector.Received> received, boolean sent) {
 			if (received.isLeft()) {
 				HttpTargetClient.this.events.onLost(this.generation, sent ? TargetLoss.UNKNOWN : TargetLoss.NOT_SENT);
 				return;
 			}
-			WholeResponse.Received response = received.get();
+			ResponseCollector.Received response = received.get();
 			byte[] reply = new ServiceReply(response.status(), response.contentType(), response.body()).encode();
 			HttpTargetClient.this.events.onChunk(this.generation, 0, reply);
 			HttpTargetClient.this.events.onEnd(this.generation, 1, FinishReason.STOP);
