--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/ResponseCollector.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/ResponseCollector.java
@@ -18,7 +18,7 @@
 
 	private final int maxBytes;
 
-	private final Consumer<Either<IOException, Received>> receiver;
+	private final Consumer<Either<IOException, Response>> receiver;
 
 	private final Runnable progress;
 
@@ -33,7 +33,7 @@
 	 * @param maxBytes the maximum size of the body, in bytes
 	 * @param receiver receives the response or the reason of the failure
 	 */
-	public ResponseCollector(int maxBytes, Consumer<Either<IOException, Received>> receiver) {
+	public ResponseCollector(int maxBytes, Consumer<Either<IOException, Response>> receiver) {
 		this(maxBytes, receiver, () -> {
 		});
 	}
@@ -44,7 +44,7 @@
 	 * @param receiver receives the response or the reason of the failure
 	 * @param progress runs when the head or a part of the body has arrived
 	 */
-	public ResponseCollector(int maxBytes, Consumer<Either<IOException, Received>> receiver, Runnable progress) {
+	public ResponseCollector(int maxBytes, Consumer<Either<IOException, Response>> receiver, Runnable progress) {
 		this.maxBytes = maxBytes;
 		this.receiver = receiver;
 		this.progress = progress;
@@ -80,7 +80,7 @@
 				.accept(Either.left(new IOException("the response is larger than " + this.maxBytes + " bytes")));
 			return;
 		}
-		this.receiver.accept(Either.right(new Received(this.head, this.body.toByteArray())));
+		this.receiver.accept(Either.right(new Response(this.head, this.body.toByteArray())));
 	}
 
 	@Override
@@ -94,7 +94,7 @@
 	 * @param head the status and headers
 	 * @param body the bytes of the body; not copied, must not be modified
 	 */
-	public record Received(HttpResponseHead head, byte[] body) {
+	public record Response(HttpResponseHead head, byte[] body) {
 
 		/**
 		 * Return the status of the response.
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/TimedHttpClient.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/TimedHttpClient.java
@@ -41,7 +41,7 @@
 	 * @param receiver receives the complete response or the reason of the failure
 	 */
 	public void call(HttpRequest request, int maxBytes, Duration timeout,
-			Consumer<Either<IOException, ResponseCollector.Received>> receiver) {
+			Consumer<Either<IOException, ResponseCollector.Response>> receiver) {
 		AtomicBoolean finished = new AtomicBoolean();
 		HttpExchange exchange = this.client.send(request, new ResponseCollector(maxBytes, (r) -> {
 			if (finished.compareAndSet(false, true)) {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpConfigurationService.java
@@ -60,7 +60,7 @@
 				(r) -> receiver.accept(r.flatMap(HttpConfigurationService::parseDocument)));
 	}
 
-	private static Either<IOException, PublishedDocument> parseDocument(ResponseCollector.Received received) {
+	private static Either<IOException, PublishedDocument> parseDocument(ResponseCollector.Response received) {
 		if (received.status() != OK) {
 			return Either.left(new IOException("the configuration service returned status " + received.status()));
 		}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/platform/HttpLiveList.java
@@ -45,7 +45,7 @@
 				new ResponseCollector(MAX_BODY_BYTES, (r) -> receiver.accept(r.flatMap(HttpLiveList::parseInstances))));
 	}
 
-	private static Either<IOException, List<LiveInstance>> parseInstances(ResponseCollector.Received received) {
+	private static Either<IOException, List<LiveInstance>> parseInstances(ResponseCollector.Response received) {
 		if (received.status() != OK) {
 			return Either.left(new IOException("the live list returned status " + received.status()));
 		}
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/BoundedCallsTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/BoundedCallsTests.java
@@ -19,7 +19,7 @@
 @Timeout(60)
 class BoundedCallsTests extends LoopbackTestSupport {
 
-	private final BlockingQueue<Either<IOException, ResponseCollector.Received>> answers = new ArrayBlockingQueue<>(10);
+	private final BlockingQueue<Either<IOException, ResponseCollector.Response>> answers = new ArrayBlockingQueue<>(10);
 
 	private final TimedHttpClient client = new TimedHttpClient(this.caller, this.io.worker().getIoThread());
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/ForwardingResponse.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/ForwardingResponse.java
@@ -17,7 +17,7 @@
 
 	private final ResponseCollector whole = new ResponseCollector(MAX_BYTES, (r) -> onWhole(r, true));
 
-	abstract void onWhole(Either<IOException, ResponseCollector.Received> received, boolean sent);
+	abstract void onWhole(Either<IOException, ResponseCollector.Response> received, boolean sent);
 
 	@Override
 	public void onNotSent(IOException cause) {
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/HttpTargetClient.java
@@ -137,12 +137,12 @@
 		}
 
 		@Override
-		void onWhole(Either<IOException, ResponseCollector.Received> received, boolean sent) {
+		void onWhole(Either<IOException, ResponseCollector.Response> received, boolean sent) {
 			if (received.isLeft()) {
 				HttpTargetClient.this.events.onLost(this.generation, sent ? TargetLoss.UNKNOWN : TargetLoss.NOT_SENT);
 				return;
 			}
-			ResponseCollector.Received response = received.get();
+			ResponseCollector.Response response = received.get();
 			byte[] reply = new ServiceReply(response.status(), response.contentType(), response.body()).encode();
 			HttpTargetClient.this.events.onChunk(this.generation, 0, reply);
 			HttpTargetClient.this.events.onEnd(this.generation, 1, FinishReason.STOP);
