--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
@@ -113,7 +113,7 @@
 	}
 
 	@Override
-	public void onNotSent(IOException cause) {
+	public void onConnectFailed(IOException cause) {
 		this.loop.begin();
 		ConnectFault fault = (cause instanceof ConnectException) ? ConnectFault.REFUSED : ConnectFault.TIMED_OUT;
 		this.dispatcher.connectFailed(this.call, this.number, fault, String.valueOf(cause.getMessage()),
@@ -152,7 +152,7 @@
 	}
 
 	@Override
-	public void onEnd() {
+	public void onComplete() {
 		this.loop.begin();
 		if (this.abandoned) {
 			return;
@@ -168,7 +168,7 @@
 	}
 
 	@Override
-	public void onBroken(IOException cause) {
+	public void onConnectionBroken(IOException cause) {
 		this.loop.begin();
 		if (this.abandoned) {
 			return;
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetCheck.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetCheck.java
@@ -33,7 +33,7 @@
 	}
 
 	@Override
-	public void onNotSent(IOException cause) {
+	public void onConnectFailed(IOException cause) {
 		// A timeout is inconclusive: the network path may be interrupted.
 		if (cause instanceof ConnectException) {
 			this.refused.accept(true);
@@ -51,12 +51,12 @@
 	}
 
 	@Override
-	public void onEnd() {
+	public void onComplete() {
 		// No request was sent.
 	}
 
 	@Override
-	public void onBroken(IOException cause) {
+	public void onConnectionBroken(IOException cause) {
 		// The connection is closed by this side.
 	}
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpExchange.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpExchange.java
@@ -95,7 +95,7 @@
 
 	void handleConnectFailure(IOException cause) {
 		if (this.finished.compareAndSet(false, true)) {
-			this.listener.onNotSent(cause);
+			this.listener.onConnectFailed(cause);
 		}
 	}
 
@@ -212,14 +212,14 @@
 
 	private void handleEnd() {
 		if (this.finished.compareAndSet(false, true)) {
-			this.listener.onEnd();
+			this.listener.onComplete();
 		}
 		IoUtils.safeClose(this.connection);
 	}
 
 	private void handleBroken(IOException cause) {
 		if (this.finished.compareAndSet(false, true)) {
-			this.listener.onBroken(cause);
+			this.listener.onConnectionBroken(cause);
 		}
 		IoUtils.safeClose(this.connection);
 	}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpResponseListener.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/HttpResponseListener.java
@@ -6,8 +6,8 @@
 /**
  * Callback for the response of one call.
  * <p>
- * The last call is exactly one of {@link #onNotSent}, {@link #onEnd} and
- * {@link #onBroken}, unless the call is cancelled. Called on an I/O thread;
+ * The last call is exactly one of {@link #onConnectFailed}, {@link #onComplete} and
+ * {@link #onConnectionBroken}, unless the call is cancelled. Called on an I/O thread;
  * implementations must not block.
  *
  * @since 0.1
@@ -18,7 +18,7 @@
 	 * Handle a failed connection; no byte of the request was sent.
 	 * @param cause the reason of the failure
 	 */
-	void onNotSent(IOException cause);
+	void onConnectFailed(IOException cause);
 
 	/**
 	 * Handle the head of the response.
@@ -35,12 +35,12 @@
 	/**
 	 * Handle the end of a complete response.
 	 */
-	void onEnd();
+	void onComplete();
 
 	/**
 	 * Handle a connection that broke after the request was sent, completely or in part.
 	 * @param cause the reason of the failure
 	 */
-	void onBroken(IOException cause);
+	void onConnectionBroken(IOException cause);
 
 }
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/ResponseCollector.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/ResponseCollector.java
@@ -51,7 +51,7 @@
 	}
 
 	@Override
-	public void onNotSent(IOException cause) {
+	public void onConnectFailed(IOException cause) {
 		this.receiver.accept(Either.left(cause));
 	}
 
@@ -74,7 +74,7 @@
 	}
 
 	@Override
-	public void onEnd() {
+	public void onComplete() {
 		if (this.tooLarge) {
 			this.receiver
 				.accept(Either.left(new IOException("the response is larger than " + this.maxBytes + " bytes")));
@@ -84,7 +84,7 @@
 	}
 
 	@Override
-	public void onBroken(IOException cause) {
+	public void onConnectionBroken(IOException cause) {
 		this.receiver.accept(Either.left(cause));
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/EngineStream.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/EngineStream.java
@@ -52,7 +52,7 @@
 	}
 
 	@Override
-	public void onNotSent(IOException cause) {
+	public void onConnectFailed(IOException cause) {
 		reportLoss(TargetLoss.NOT_SENT);
 	}
 
@@ -69,7 +69,7 @@
 	}
 
 	@Override
-	public void onEnd() {
+	public void onComplete() {
 		if (this.status == STATUS_OK) {
 			reportLoss(TargetLoss.BROKEN);
 		}
@@ -86,7 +86,7 @@
 	}
 
 	@Override
-	public void onBroken(IOException cause) {
+	public void onConnectionBroken(IOException cause) {
 		reportLoss(TargetLoss.BROKEN);
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/ForwardingResponse.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/target/ForwardingResponse.java
@@ -20,7 +20,7 @@
 	abstract void onWhole(Either<IOException, ResponseCollector.Response> received, boolean sent);
 
 	@Override
-	public void onNotSent(IOException cause) {
+	public void onConnectFailed(IOException cause) {
 		onWhole(Either.left(cause), false);
 	}
 
@@ -35,13 +35,13 @@
 	}
 
 	@Override
-	public void onEnd() {
-		this.whole.onEnd();
+	public void onComplete() {
+		this.whole.onComplete();
 	}
 
 	@Override
-	public void onBroken(IOException cause) {
-		this.whole.onBroken(cause);
+	public void onConnectionBroken(IOException cause) {
+		this.whole.onConnectionBroken(cause);
 	}
 
 }
