--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlanAndTargets.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlanAndTargets.java
@@ -18,7 +18,7 @@
 import dev.laneworks.core.follow.StorePosition;
 import dev.laneworks.core.serving.ServingPlan;
 import dev.laneworks.core.time.Timers;
-import dev.laneworks.runtime.http.BackgroundWork;
+import dev.laneworks.runtime.http.BackgroundExecutor;
 import io.vavr.control.Either;
 
 /**
@@ -55,7 +55,7 @@
 
 	private final AuditSink audit;
 
-	private final BackgroundWork background;
+	private final BackgroundExecutor background;
 
 	private final RefusedItems refused;
 
@@ -78,7 +78,7 @@
 	private volatile int restoreCount;
 
 	PlanAndTargets(ServingSource source, TargetDirectory directory, Evacuations evacuations,
-			Consumer<ServingPlan> planListener, AuditSink audit, BackgroundWork background, Timers timers) {
+			Consumer<ServingPlan> planListener, AuditSink audit, BackgroundExecutor background, Timers timers) {
 		this.timers = timers;
 		this.source = source;
 		this.directory = directory;
@@ -243,7 +243,7 @@
 	// The first plan is parsed at once: requests wait for it, and no streams exist yet.
 	private void readPlan(StoreItem item) {
 		if (this.plan.isPresent() && item.value().length() > LARGE_PLAN_CHARS) {
-			this.background.run(() -> this.source.plan(item), (read) -> applyPlan(item.key(), read));
+			this.background.submit(() -> this.source.plan(item), (read) -> applyPlan(item.key(), read));
 		}
 		else {
 			applyPlan(item.key(), this.source.plan(item));
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/StoreView.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/StoreView.java
@@ -15,7 +15,7 @@
 import dev.laneworks.core.retry.Backoff;
 import dev.laneworks.core.serving.ServingPlan;
 import dev.laneworks.core.time.Timers;
-import dev.laneworks.runtime.http.BackgroundWork;
+import dev.laneworks.runtime.http.BackgroundExecutor;
 
 /**
  * View of the platform's store: the follower and the plan, targets and evacuations that
@@ -52,7 +52,7 @@
 	 */
 	StoreView(ServingSource source, FollowSettings settings, DirectoryListener members,
 			EvacuationListener evacuationListener, Consumer<ServingPlan> planListener, SharedWatch watch,
-			Timers timers, RandomGenerator random, BackgroundWork background, AuditSink audit) {
+			Timers timers, RandomGenerator random, BackgroundExecutor background, AuditSink audit) {
 		this.evacuations = new Evacuations(evacuationListener);
 		this.directory = new TargetDirectory(members, this.evacuations, timers);
 		this.published = new PlanAndTargets(source, this.directory, this.evacuations, planListener, audit, background,
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -33,7 +33,7 @@
 import dev.laneworks.core.serving.ServiceSpec;
 import dev.laneworks.core.serving.ServingPlan;
 import dev.laneworks.core.time.Timers;
-import dev.laneworks.runtime.http.BackgroundWork;
+import dev.laneworks.runtime.http.BackgroundExecutor;
 import io.vavr.control.Either;
 
 /**
@@ -631,10 +631,10 @@
 
 	}
 
-	private static final class SynchronousWork implements BackgroundWork {
+	private static final class SynchronousWork implements BackgroundExecutor {
 
 		@Override
-		public <T> void run(Supplier<T> work, Consumer<T> receiver) {
+		public <T> void submit(Supplier<T> work, Consumer<T> receiver) {
 			receiver.accept(work.get());
 		}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
@@ -25,7 +25,7 @@
 import dev.laneworks.core.serving.ServiceSpec;
 import dev.laneworks.core.serving.ServingPlan;
 import dev.laneworks.core.time.Timers;
-import dev.laneworks.runtime.http.BackgroundWork;
+import dev.laneworks.runtime.http.BackgroundExecutor;
 import io.vavr.control.Either;
 import org.junit.jupiter.api.Test;
 
@@ -253,10 +253,10 @@
 	}
 
 	/** Background work that runs when the test requests it. */
-	private final class DeferredWork implements BackgroundWork {
+	private final class DeferredWork implements BackgroundExecutor {
 
 		@Override
-		public <T> void run(Supplier<T> work, Consumer<T> receiver) {
+		public <T> void submit(Supplier<T> work, Consumer<T> receiver) {
 			PlanAndTargetsTests.this.pendingWork.add(() -> receiver.accept(work.get()));
 		}
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BackgroundWork.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BackgroundExecutor.java
@@ -8,7 +8,7 @@
  *
  * @since 0.2
  */
-public interface BackgroundWork {
+public interface BackgroundExecutor {
 
 	/**
 	 * Execute a task and pass its result to the I/O thread. Tasks are executed one after
@@ -17,6 +17,6 @@
 	 * @param work the task, which must not access state of the I/O thread
 	 * @param receiver receives the result on the I/O thread
 	 */
-	<T> void run(Supplier<T> work, Consumer<T> receiver);
+	<T> void submit(Supplier<T> work, Consumer<T> receiver);
 
 }
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/DefaultBackgroundWork.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/DefaultBackgroundWork.java
@@ -10,7 +10,7 @@
  *
  * @since 0.2
  */
-public final class DefaultBackgroundWork implements BackgroundWork {
+public final class DefaultBackgroundWork implements BackgroundExecutor {
 
 	private final XnioIoThread thread;
 
@@ -24,7 +24,7 @@
 	}
 
 	@Override
-	public <T> void run(Supplier<T> work, Consumer<T> receiver) {
+	public <T> void submit(Supplier<T> work, Consumer<T> receiver) {
 		this.thread.getWorker().execute(() -> {
 			T result = work.get();
 			this.thread.execute(() -> receiver.accept(result));
