--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -36,7 +36,7 @@
 import dev.laneworks.entry.caller.CallTimes;
 import dev.laneworks.runtime.audit.AuditTrail;
 import dev.laneworks.runtime.http.AsyncHttpClient;
-import dev.laneworks.runtime.http.DefaultBackgroundWork;
+import dev.laneworks.runtime.http.DefaultBackgroundExecutor;
 import dev.laneworks.runtime.http.IoWorker;
 import dev.laneworks.runtime.log.LogLine;
 import dev.laneworks.runtime.operator.OperatorServer;
@@ -196,7 +196,7 @@
 		this.backpressure = new TargetBackpressure(limits, this.peers::announceNeeds, this.audit);
 		MembershipEvents members = new MembershipEvents(this.estimates, this.cold, this.backpressure, this.loop, this.audit);
 		this.store = new StoreView(adapter.source(), settings.follow(), members, members, this::use,
-				this.peers.reading(), timers, random, new DefaultBackgroundWork(thread), this.audit);
+				this.peers.reading(), timers, random, new DefaultBackgroundExecutor(thread), this.audit);
 		this.directory = this.store.directory();
 		Eligibility eligibility = new Eligibility(this.directory, this.estimates, this.cold, this.backpressure,
 				settings.regions());
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/DefaultBackgroundWork.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/DefaultBackgroundExecutor.java
@@ -10,7 +10,7 @@
  *
  * @since 0.2
  */
-public final class DefaultBackgroundWork implements BackgroundExecutor {
+public final class DefaultBackgroundExecutor implements BackgroundExecutor {
 
 	private final XnioIoThread thread;
 
@@ -19,7 +19,7 @@
 	 * @param thread the I/O thread that receives the results; its worker must have
 	 * exactly one task thread
 	 */
-	public DefaultBackgroundWork(XnioIoThread thread) {
+	public DefaultBackgroundExecutor(XnioIoThread thread) {
 		this.thread = thread;
 	}
 
