--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/duty/Duty.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/duty/Duty.java
@@ -107,7 +107,7 @@
 	 * Return the number of commands in the queue.
 	 * @return the number, without the commands that the duty submitted to itself
 	 */
-	public int waiting() {
+	public int queueSize() {
 		return this.queue.size();
 	}
 
@@ -115,7 +115,7 @@
 	 * Return the number of commands that {@link #offer} rejected.
 	 * @return the number since the duty was created
 	 */
-	public long turnedAway() {
+	public long rejectedCount() {
 		return this.rejected.sum();
 	}
 
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/duty/DutyTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/duty/DutyTests.java
@@ -60,7 +60,7 @@
 		}
 		release.countDown();
 		assertThat(accepted).isAtLeast(CAPACITY);
-		assertThat(duty.turnedAway()).isEqualTo(COMMANDS - accepted);
+		assertThat(duty.rejectedCount()).isEqualTo(COMMANDS - accepted);
 		assertThat(accepted).isLessThan(COMMANDS);
 		this.supervisor.stop();
 	}
