--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -28,7 +28,7 @@
 import dev.laneworks.runtime.operator.OperatorServer;
 import dev.laneworks.runtime.program.ExitCode;
 import dev.laneworks.runtime.program.MonotonicClock;
-import dev.laneworks.runtime.program.ProcessParts;
+import dev.laneworks.runtime.program.ProcessContext;
 import dev.laneworks.wire.LinkSettings;
 import dev.laneworks.wire.PeerIdentity;
 import dev.laneworks.wire.TargetLinks;
@@ -62,7 +62,7 @@
 
 	private final EntrySettings settings;
 
-	private final ProcessParts parts;
+	private final ProcessContext context;
 
 	private final SplittableRandom random = new SplittableRandom(ThreadLocalRandom.current().nextLong());
 
@@ -84,7 +84,7 @@
 	 */
 	public Entry(EntrySettings settings) {
 		this.settings = settings;
-		this.parts = new ProcessParts("entry", settings.common(), 2);
+		this.context = new ProcessContext("entry", settings.common(), 2);
 		this.calls = new DutyCallPort(() -> this.duty, settings.callers().maxCalls());
 	}
 
@@ -95,20 +95,20 @@
 	public ExitCode run() {
 		MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 		this.duty = new Duty<>("calls", createState(eventLoops.next()), RING_CAPACITY, TICK_INTERVAL, this::tick);
-		this.parts.supervisor().start(this.duty);
-		this.callerServer = new CallerServer(this.parts.io(), this.settings.callers(), this.calls,
-				this.settings.secret(), new CallTimes(this.parts.metrics()), this::isReady);
-		OperatorServer operators = new OperatorServer(this.parts.io().worker(),
-				this.settings.common().operatorAddress(), this.parts.metrics(), this.parts.audit(), this::isReady,
-				() -> ProcessParts.ask(this.duty, this::status), Handlers.routing());
+		this.context.supervisor().start(this.duty);
+		this.callerServer = new CallerServer(this.context.io(), this.settings.callers(), this.calls,
+				this.settings.secret(), new CallTimes(this.context.metrics()), this::isReady);
+		OperatorServer operators = new OperatorServer(this.context.io().worker(),
+				this.settings.common().operatorAddress(), this.context.metrics(), this.context.audit(), this::isReady,
+				() -> ProcessContext.query(this.duty, this::status), Handlers.routing());
 		operators.start();
 		this.callerServer.start();
 		LogLine.of("started").with("address", this.settings.callers().address().toString()).info();
-		ExitCode code = this.parts.awaitEnd();
+		ExitCode code = this.context.awaitEnd();
 		this.callerServer.stop();
 		operators.stop();
 		this.links.close();
-		this.parts.supervisor().stop();
+		this.context.supervisor().stop();
 		eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
 		return code;
 	}
@@ -119,7 +119,7 @@
 	 */
 	public void stop() {
 		this.stoppingSince = Math.max(1, MonotonicClock.millis());
-		this.parts.endAfter(this.settings.drainLimit());
+		this.context.scheduleEnd(this.settings.drainLimit());
 	}
 
 	private EntryState createState(EventLoop loop) {
@@ -136,7 +136,7 @@
 		Backoff backoff = new Backoff(Duration.ofMillis(50), Duration.ofSeconds(2), this.random);
 		RetryBudget budget = new RetryBudget(this.settings.retryShare(), RETRIES_PER_SECOND, MAX_SAVED_RETRIES);
 		CallCoordinator coordinator = new CallCoordinator(this.settings.calls(), selector, states, budget, backoff,
-				state, this.parts.audit());
+				state, this.context.audit());
 		state.attach(coordinator, createConfigurationKeeper());
 		registerMetrics(coordinator.counters());
 		return state;
@@ -145,9 +145,9 @@
 	private ConfigurationKeeper createConfigurationKeeper() {
 		Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofSeconds(5), this.random);
 		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationHolder(),
-				this.parts.configurationService(), backoff, PEER_CONFIRMATION_MAX_AGE_MILLIS,
+				this.context.configurationService(), backoff, PEER_CONFIRMATION_MAX_AGE_MILLIS,
 				(t) -> this.duty.put((s) -> t.accept(MonotonicClock.millis())), this::applyConfiguration,
-				this.parts.audit());
+				this.context.audit());
 		keeper.setWatcher(false);
 		return keeper;
 	}
@@ -163,7 +163,7 @@
 		this.calls.setOpenCalls(state.coordinator().openCalls());
 		long since = this.stoppingSince;
 		if (since != 0 && MonotonicClock.millis() - since >= BALANCER_GRACE_MILLIS && isIdle(state)) {
-			this.parts.end(ExitCode.OK);
+			this.context.requestEnd(ExitCode.OK);
 		}
 	}
 
@@ -201,13 +201,13 @@
 	}
 
 	private void registerMetrics(CallCounters counters) {
-		this.parts.gauge("laneworks_calls_opened", counters.opened()::sum);
-		this.parts.gauge("laneworks_calls_finished", counters.finished()::sum);
-		this.parts.gauge("laneworks_calls_refused", counters.refused()::sum);
-		this.parts.gauge("laneworks_retries", counters.retried()::sum);
-		this.parts.gauge("laneworks_tokens_delivered", counters.delivered()::sum);
-		this.parts.gauge("laneworks_stray_messages", counters.droppedMessages()::sum);
-		this.parts.gauge("laneworks_reattached", counters.reattached()::sum);
+		this.context.gauge("laneworks_calls_opened", counters.opened()::sum);
+		this.context.gauge("laneworks_calls_finished", counters.finished()::sum);
+		this.context.gauge("laneworks_calls_refused", counters.refused()::sum);
+		this.context.gauge("laneworks_retries", counters.retried()::sum);
+		this.context.gauge("laneworks_tokens_delivered", counters.delivered()::sum);
+		this.context.gauge("laneworks_stray_messages", counters.droppedMessages()::sum);
+		this.context.gauge("laneworks_reattached", counters.reattached()::sum);
 	}
 
 	private Map<String, InetSocketAddress> seeds() {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ProcessParts.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/ProcessContext.java
@@ -26,7 +26,7 @@
  *
  * @since 0.1
  */
-public final class ProcessParts {
+public final class ProcessContext {
 
 	private static final int TASK_THREADS = 2;
 
@@ -61,12 +61,12 @@
 	 * @param settings the settings that entries and sidecars share
 	 * @param ioThreads the number of threads that serve HTTP connections
 	 */
-	public ProcessParts(String name, CommonSettings settings, int ioThreads) {
+	public ProcessContext(String name, CommonSettings settings, int ioThreads) {
 		this.settings = settings;
 		this.io = IoWorker.start(ioThreads, TASK_THREADS);
 		this.client = new AsyncHttpClient(this.io.worker(), this.io.buffers());
 		this.audit = new AuditTrail(settings.auditCapacity());
-		this.supervisor = new Supervisor(name, MAX_FAILURES, FAILURE_WINDOW, (ex) -> end(ExitCode.GAVE_UP));
+		this.supervisor = new Supervisor(name, MAX_FAILURES, FAILURE_WINDOW, (ex) -> requestEnd(ExitCode.GAVE_UP));
 	}
 
 	/**
@@ -136,7 +136,7 @@
 	 * @throws IllegalStateException if there is no result in time or the caller is
 	 * interrupted
 	 */
-	public static <S> Object ask(Duty<S> duty, Function<S, Object> query) {
+	public static <S> Object query(Duty<S> duty, Function<S, Object> query) {
 		CompletableFuture<Object> answer = new CompletableFuture<>();
 		duty.put((s) -> answer.complete(query.apply(s)));
 		try {
@@ -155,8 +155,8 @@
 	 * Request the end of the process. Calls after the first one have no effect.
 	 * @param code the exit code of the process
 	 */
-	public synchronized void end(ExitCode code) {
-		if (!isEnding()) {
+	public synchronized void requestEnd(ExitCode code) {
+		if (!isEndRequested()) {
 			this.exitCode = code;
 			this.ended.countDown();
 		}
@@ -166,19 +166,19 @@
 	 * Schedule the end of the process with {@link ExitCode#OK}.
 	 * @param limit the delay; zero schedules nothing
 	 */
-	public void endAfter(Duration limit) {
+	public void scheduleEnd(Duration limit) {
 		if (!limit.isZero()) {
 			this.io.worker()
 				.getIoThread()
-				.executeAfter(() -> end(ExitCode.OK), limit.toMillis(), TimeUnit.MILLISECONDS);
+				.executeAfter(() -> requestEnd(ExitCode.OK), limit.toMillis(), TimeUnit.MILLISECONDS);
 		}
 	}
 
 	/**
 	 * Determine whether the end of the process was requested.
-	 * @return {@code true} after {@link #end}
+	 * @return {@code true} after {@link #requestEnd}
 	 */
-	public boolean isEnding() {
+	public boolean isEndRequested() {
 		return this.ended.getCount() == 0;
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/Sidecar.java
@@ -26,7 +26,7 @@
 import dev.laneworks.runtime.platform.LiveInstance;
 import dev.laneworks.runtime.program.ExitCode;
 import dev.laneworks.runtime.program.MonotonicClock;
-import dev.laneworks.runtime.program.ProcessParts;
+import dev.laneworks.runtime.program.ProcessContext;
 import dev.laneworks.sidecar.target.HttpTargetClient;
 import dev.laneworks.wire.Link;
 import dev.laneworks.wire.LinkServer;
@@ -65,7 +65,7 @@
 
 	private final SidecarSettings settings;
 
-	private final ProcessParts parts;
+	private final ProcessContext context;
 
 	private final long incarnation = IncarnationSource.next();
 
@@ -89,7 +89,7 @@
 	 */
 	public Sidecar(SidecarSettings settings) {
 		this.settings = settings;
-		this.parts = new ProcessParts("sidecar", settings.common(), 1);
+		this.context = new ProcessContext("sidecar", settings.common(), 1);
 	}
 
 	/**
@@ -99,12 +99,12 @@
 	public ExitCode run() {
 		MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 		this.duty = new Duty<>("host", createState(eventLoops.next()), RING_CAPACITY, TICK_INTERVAL, this::tick);
-		this.parts.supervisor().start(this.duty);
+		this.context.supervisor().start(this.duty);
 		LinkServer server = new LinkServer(eventLoops, this.settings.address(), identity(), LinkSettings.defaults(),
 				new EntryLinkListener(this.duty));
-		OperatorServer operators = new OperatorServer(this.parts.io().worker(),
-				this.settings.common().operatorAddress(), this.parts.metrics(), this.parts.audit(), () -> this.ready,
-				() -> ProcessParts.ask(this.duty, this::status), operatorRoutes());
+		OperatorServer operators = new OperatorServer(this.context.io().worker(),
+				this.settings.common().operatorAddress(), this.context.metrics(), this.context.audit(), () -> this.ready,
+				() -> ProcessContext.query(this.duty, this::status), operatorRoutes());
 		operators.start();
 		pollLiveList();
 		LogLine.of("started")
@@ -112,11 +112,11 @@
 			.with("target", this.settings.target().toString())
 			.with("incarnation", Long.toHexString(this.incarnation))
 			.info();
-		ExitCode code = this.parts.awaitEnd();
+		ExitCode code = this.context.awaitEnd();
 		operators.stop();
 		server.close();
 		this.otherSidecars.close();
-		this.parts.supervisor().stop();
+		this.context.supervisor().stop();
 		eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
 		return code;
 	}
@@ -128,7 +128,7 @@
 	public void stop(String cause) {
 		this.stopping = true;
 		this.duty.put((s) -> s.leave(cause));
-		this.parts.endAfter(this.settings.drainLimit());
+		this.context.scheduleEnd(this.settings.drainLimit());
 	}
 
 	private SidecarState createState(EventLoop loop) {
@@ -136,7 +136,7 @@
 		String target = this.settings.common().instance();
 		ConfigurationHolder holder = new ConfigurationHolder();
 		ViewHistory views = new ViewHistory();
-		HttpTargetClient client = new HttpTargetClient(this.parts.caller(), this.settings.target(),
+		HttpTargetClient client = new HttpTargetClient(this.context.caller(), this.settings.target(),
 				new HostTargetEvents((c) -> this.duty.put(c)));
 		this.otherSidecars = new TargetLinks(loop, identity(), LinkSettings.defaults(), this.random,
 				new FormerHomeListener((c) -> this.duty.put(c)));
@@ -144,11 +144,11 @@
 		KeyGuard guard = new KeyGuard(target, this.incarnation, now, views);
 		GenerationHost host = new GenerationHost(target, this.incarnation, this.settings.host(), guard, holder,
 				new LearnedLengthModel(this.settings.host().lengthHalfLife(), LearnedLengthModel.DEFAULT_MAX_CLASSES),
-				outputs, this.parts.audit(), now);
+				outputs, this.context.audit(), now);
 		Backoff backoff = new Backoff(Duration.ofMillis(100), Duration.ofSeconds(5), this.random);
-		ConfigurationKeeper keeper = new ConfigurationKeeper(holder, this.parts.configurationService(), backoff,
+		ConfigurationKeeper keeper = new ConfigurationKeeper(holder, this.context.configurationService(), backoff,
 				PEER_CONFIRMATION_MAX_AGE_MILLIS, (t) -> this.duty.put((s) -> t.accept(MonotonicClock.millis())),
-				this::applyConfiguration, this.parts.audit());
+				this::applyConfiguration, this.context.audit());
 		registerMetrics(host.counters());
 		return new SidecarState(target, views, this.links, host, keeper, outputs);
 	}
@@ -166,19 +166,19 @@
 
 	private void tick(SidecarState state) {
 		state.tick();
-		if (this.stopping && !this.parts.isEnding() && state.host().isIdle(MonotonicClock.millis())) {
+		if (this.stopping && !this.context.isEndRequested() && state.host().isIdle(MonotonicClock.millis())) {
 			state.sendFarewell();
-			this.parts.end(ExitCode.OK);
+			this.context.requestEnd(ExitCode.OK);
 		}
 	}
 
 	private void pollLiveList() {
-		HttpLiveList list = new HttpLiveList(this.parts.caller(), this.settings.common().platform());
+		HttpLiveList list = new HttpLiveList(this.context.caller(), this.settings.common().platform());
 		pollLiveList(list, MIN_LIST_POLL_INTERVAL_MILLIS);
 	}
 
 	private void pollLiveList(HttpLiveList list, long delayMillis) {
-		this.parts.io().worker().getIoThread().executeAfter(() -> list.read(this.settings.common().instance(), (r) -> {
+		this.context.io().worker().getIoThread().executeAfter(() -> list.read(this.settings.common().instance(), (r) -> {
 			List<LiveInstance> instances = r.getOrElse(List.of());
 			boolean leaving = instances.stream()
 				.anyMatch((i) -> i.leaving() && i.name().equals(this.settings.common().instance()));
@@ -208,14 +208,14 @@
 	}
 
 	private void registerMetrics(HostCounters hostCounters) {
-		this.parts.gauge("laneworks_admitted", hostCounters.admitted()::sum);
-		this.parts.gauge("laneworks_refused", hostCounters.refused()::sum);
-		this.parts.gauge("laneworks_tokens", hostCounters.chunks()::sum);
-		this.parts.gauge("laneworks_preemptions", hostCounters.preemptions()::sum);
-		this.parts.gauge("laneworks_cancelled", hostCounters.cancelled()::sum);
-		this.parts.gauge("laneworks_duplicates_dropped", hostCounters.duplicates()::sum);
-		this.parts.gauge("laneworks_gaps_mended", hostCounters.gaps()::sum);
-		this.parts.gauge("laneworks_pauses_noticed", hostCounters.pauses()::sum);
+		this.context.gauge("laneworks_admitted", hostCounters.admitted()::sum);
+		this.context.gauge("laneworks_refused", hostCounters.refused()::sum);
+		this.context.gauge("laneworks_tokens", hostCounters.chunks()::sum);
+		this.context.gauge("laneworks_preemptions", hostCounters.preemptions()::sum);
+		this.context.gauge("laneworks_cancelled", hostCounters.cancelled()::sum);
+		this.context.gauge("laneworks_duplicates_dropped", hostCounters.duplicates()::sum);
+		this.context.gauge("laneworks_gaps_mended", hostCounters.gaps()::sum);
+		this.context.gauge("laneworks_pauses_noticed", hostCounters.pauses()::sum);
 	}
 
 	private PeerIdentity identity() {
