--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -248,7 +248,7 @@
 		if (this.settings.mechanisms().isEnabled(Mechanism.LEAVING_INQUIRY)) {
 			this.loop.run(() -> this.inquiry.start(this.loop.now()));
 		}
-		MonotonicClock.countSuspensions();
+		MonotonicClock.includeSuspensions();
 		if (!await(this.ended)) {
 			return ExitCode.FAILED;
 		}
@@ -364,7 +364,7 @@
 	// A larger number of entries reduces the share at once; a smaller one raises it
 	// gradually.
 	private void updateRetryShare() {
-		MonotonicClock.look();
+		MonotonicClock.detectSuspension();
 		this.gauges = collectGauges(this.loop.now());
 		this.recentEntryCount = Math.max(this.peers.count() + 1, this.recentEntryCount - 1);
 		this.retries.setLimits(this.activeSettings.retryRatio(), this.activeSettings.ownRetryExtra(this.recentEntryCount));
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/MonotonicClock.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/MonotonicClock.java
@@ -7,7 +7,7 @@
 /**
  * Monotonic clock for timeouts and decisions.
  * <p>
- * It advances while the process is paused and, after {@link #countSuspensions()}, also
+ * It advances while the process is paused and, after {@link #includeSuspensions()}, also
  * while the machine is suspended. Thread-safe.
  *
  * @since 0.1
@@ -32,7 +32,7 @@
 	 * Include suspensions of the machine from now on, if the operating system has a clock
 	 * for it. The first call loads a native library and should come last in a start.
 	 */
-	public static void countSuspensions() {
+	public static void includeSuspensions() {
 		BootClock.open().ifPresent((c) -> SUSPENSION_METER.useBootClock(c::millis));
 	}
 
@@ -40,7 +40,7 @@
 	 * Check for a suspension that no jump of the time of day revealed. To be called
 	 * periodically.
 	 */
-	public static void look() {
+	public static void detectSuspension() {
 		SUSPENSION_METER.readBootClock();
 	}
 
