--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -473,7 +473,7 @@
 		for (AuditKind kind : AuditKind.values()) {
 			this.metrics.counter(counterName(kind));
 		}
-		this.audit.watch((r) -> this.metrics.counter(counterName(r.event().kind())).inc());
+		this.audit.addListener((r) -> this.metrics.counter(counterName(r.event().kind())).inc());
 	}
 
 	private static String counterName(AuditKind kind) {
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/audit/AuditTrail.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/audit/AuditTrail.java
@@ -104,7 +104,7 @@
 	 * Register a listener for all events recorded from now on.
 	 * @param listener called on the thread that records an event; must not block
 	 */
-	public void watch(Consumer<AuditRecord> listener) {
+	public void addListener(Consumer<AuditRecord> listener) {
 		this.listeners.add(listener);
 	}
 
