--- a/laneworks-bench/src/main/java/dev/laneworks/bench/BenchMain.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/BenchMain.java
@@ -30,7 +30,7 @@
 	 */
 	public static void main(String[] arguments) {
 		System.setProperty("org.jboss.logging.provider", "slf4j");
-		JsonLineWriter.nameInstance("bench");
+		JsonLineWriter.setInstanceName("bench");
 		System.exit(run(arguments).code());
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryMain.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryMain.java
@@ -30,7 +30,7 @@
 	}
 
 	private static ExitCode run(EntrySettings settings) {
-		JsonLineWriter.nameInstance(settings.common().instance());
+		JsonLineWriter.setInstanceName(settings.common().instance());
 		Entry entry = new Entry(settings);
 		new StopSignals().handle(entry::stop);
 		return entry.run();
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/JsonLineWriter.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/log/JsonLineWriter.java
@@ -44,7 +44,7 @@
 	 * Set the instance name that all lines of this process contain.
 	 * @param name the instance's name, printed without escaping
 	 */
-	public static void nameInstance(String name) {
+	public static void setInstanceName(String name) {
 		instance = name;
 	}
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarMain.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarMain.java
@@ -29,7 +29,7 @@
 	}
 
 	private static ExitCode run(SidecarSettings settings) {
-		JsonLineWriter.nameInstance(settings.common().instance());
+		JsonLineWriter.setInstanceName(settings.common().instance());
 		Sidecar sidecar = new Sidecar(settings);
 		new StopSignals().handle(() -> sidecar.stop("planned stop"));
 		return sidecar.run();
--- a/laneworks-standin/src/main/java/dev/laneworks/standin/StandinMain.java
+++ b/laneworks-standin/src/main/java/dev/laneworks/standin/StandinMain.java
@@ -129,7 +129,7 @@
 	}
 
 	private ExitCode run(String command, OptionSet options) throws IOException {
-		JsonLineWriter.nameInstance("standin-" + command);
+		JsonLineWriter.setInstanceName("standin-" + command);
 		return switch (command) {
 			case "engine" -> engine(options);
 			case "service" -> service(options);
