--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryMain.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryMain.java
@@ -6,7 +6,7 @@
 import dev.laneworks.runtime.log.JsonLineWriter;
 import dev.laneworks.runtime.program.ExitCode;
 import dev.laneworks.runtime.program.Program;
-import dev.laneworks.runtime.program.StopSignals;
+import dev.laneworks.runtime.program.SignalHandlers;
 
 /**
  * Main class of {@code laneworks-entry}.
@@ -32,7 +32,7 @@
 	private static ExitCode run(EntrySettings settings) {
 		JsonLineWriter.setInstanceName(settings.common().instance());
 		Entry entry = new Entry(settings);
-		new StopSignals().handle(entry::stop);
+		new SignalHandlers().handle(entry::stop);
 		return entry.run();
 	}
 
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/StopSignals.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/SignalHandlers.java
@@ -14,7 +14,7 @@
  *
  * @since 0.1
  */
-public final class StopSignals {
+public final class SignalHandlers {
 
 	private static final int INTERRUPTED_EXIT_STATUS = 130;
 
--- a/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarMain.java
+++ b/laneworks-sidecar/src/main/java/dev/laneworks/sidecar/SidecarMain.java
@@ -5,7 +5,7 @@
 import dev.laneworks.runtime.log.JsonLineWriter;
 import dev.laneworks.runtime.program.ExitCode;
 import dev.laneworks.runtime.program.Program;
-import dev.laneworks.runtime.program.StopSignals;
+import dev.laneworks.runtime.program.SignalHandlers;
 
 /**
  * Main class of {@code laneworks-sidecar}.
@@ -31,7 +31,7 @@
 	private static ExitCode run(SidecarSettings settings) {
 		JsonLineWriter.setInstanceName(settings.common().instance());
 		Sidecar sidecar = new Sidecar(settings);
-		new StopSignals().handle(() -> sidecar.stop("planned stop"));
+		new SignalHandlers().handle(() -> sidecar.stop("planned stop"));
 		return sidecar.run();
 	}
 
