--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
@@ -27,7 +27,7 @@
 
 	private final HeaderTranslation translation;
 
-	private final EngineOrders engines;
+	private final EngineCommands engines;
 
 	private final CallTimes times;
 
@@ -37,7 +37,7 @@
 
 	private long lastCallNumber;
 
-	DirectCalls(EventLoop loop, AsyncHttpClient http, HeaderTranslation translation, EngineOrders engines, CallTimes times) {
+	DirectCalls(EventLoop loop, AsyncHttpClient http, HeaderTranslation translation, EngineCommands engines, CallTimes times) {
 		this.times = times;
 		this.loop = loop;
 		this.http = http;
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineOrders.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineCommands.java
@@ -13,17 +13,17 @@
  *
  * @since 0.2
  */
-public interface EngineOrders {
+public interface EngineCommands {
 
 	/**
 	 * Timeout for the answer to a command: a copy may queue behind others.
 	 */
-	Duration LIMIT = Duration.ofSeconds(3);
+	Duration COMMAND_TIMEOUT = Duration.ofSeconds(3);
 
 	/**
 	 * Timeout for the answer to a poll, which is repeated soon.
 	 */
-	Duration ASK_LIMIT = Duration.ofMillis(280);
+	Duration POLL_TIMEOUT = Duration.ofMillis(280);
 
 	/**
 	 * Send the command to copy a running generation.
@@ -37,7 +37,7 @@
 	 * @param engine the engine to poll
 	 * @param answer the consumer of the answer, which is called in any case
 	 */
-	void ask(ListedTarget engine, Consumer<EngineAnswer> answer);
+	void poll(ListedTarget engine, Consumer<EngineAnswer> answer);
 
 	/**
 	 * Send the command to discard a copy that is no longer needed.
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
@@ -23,7 +23,7 @@
 
 	private final TargetEstimates estimates;
 
-	private final EngineOrders engines;
+	private final EngineCommands engines;
 
 	private final EventLoop loop;
 
@@ -31,7 +31,7 @@
 
 	private final DrainingQuery query;
 
-	EngineInquiry(StoreView store, PeerEntries peers, TargetEstimates estimates, EngineOrders engines, EventLoop loop,
+	EngineInquiry(StoreView store, PeerEntries peers, TargetEstimates estimates, EngineCommands engines, EventLoop loop,
 			AuditSink audit) {
 		this.store = store;
 		this.estimates = estimates;
@@ -62,7 +62,7 @@
 
 	@Override
 	public void query(ListedTarget engine) {
-		this.engines.ask(engine, (a) -> {
+		this.engines.poll(engine, (a) -> {
 			this.query.handleAnswer(engine, a, this.loop.now());
 			this.loop.runTimers();
 		});
