--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
@@ -187,26 +187,26 @@
 		if (route.isEmpty()) {
 			return Either.left(Refusal.permanent(RefusalReason.UNKNOWN_ROUTE, "no route covers this host and path"));
 		}
-		RequestFacts facts;
+		RequestMetadata metadata;
 		try {
-			facts = this.translation.readRequest(request.headers());
+			metadata = this.translation.readRequest(request.headers());
 		}
 		catch (IllegalArgumentException ex) {
 			return Either.left(Refusal.permanent(RefusalReason.BAD_REQUEST, ex.getMessage()));
 		}
-		Optional<AccountGrant> account = facts.key().flatMap(activePlan::findAccount);
+		Optional<AccountGrant> account = metadata.key().flatMap(activePlan::findAccount);
 		if (account.isEmpty() && activePlan.requiresKeys() && !route.get().open()) {
 			return Either.left(Refusal.permanent(RefusalReason.UNKNOWN_ACCOUNT, "the key belongs to no client account"));
 		}
-		if (facts.id().isEmpty()) {
+		if (metadata.id().isEmpty()) {
 			return Either.left(Refusal.permanent(RefusalReason.BAD_REQUEST, "the request has no identity"));
 		}
-		if (!this.shutdown.canFinish(route.get(), facts.work(), this.loop.now())) {
+		if (!this.shutdown.canFinish(route.get(), metadata.size(), this.loop.now())) {
 			return Either.left(Refusal.notRun(RefusalReason.LEAVING, "this entry ends before the answer would",
 					STOPPING_RETRY_DELAY));
 		}
 		return Either
-			.right(new Admitted(facts, withAccountPriority(route.get(), account), account, activePlan.limits()));
+			.right(new Admitted(metadata, withAccountPriority(route.get(), account), account, activePlan.limits()));
 	}
 
 	private static RouteSpec withAccountPriority(RouteSpec route, Optional<AccountGrant> account) {
@@ -245,7 +245,7 @@
 
 	private void open(CallerRequest request, Admitted admitted, long arrived) {
 		RouteSpec route = admitted.route();
-		long waitMillis = admitted.facts().patienceMillis().orElse(route.timeoutMillis());
+		long waitMillis = admitted.facts().callerTimeoutMillis().orElse(route.timeoutMillis());
 		long remainingMillis = Math.max(1, waitMillis - (this.loop.now() - arrived));
 		String account = admitted.account().map(AccountGrant::account).orElse("");
 		AllowedRegions regions = admitted.account()
@@ -253,7 +253,7 @@
 			.orElse(route.regions());
 		DirectRequest direct = new DirectRequest(admitted.facts().id(), route,
 				route.selectService(this.random.nextDouble()), account, remainingMillis, regions, request.digest(account),
-				admitted.facts().work());
+				admitted.facts().size());
 		this.unfinishedAnswers++;
 		request.exchange().addExchangeCompleteListener((e, next) -> {
 			this.unfinishedAnswers--;
@@ -283,7 +283,7 @@
 		return bytes;
 	}
 
-	private record Admitted(RequestFacts facts, RouteSpec route, Optional<AccountGrant> account, RequestLimits limits) {
+	private record Admitted(RequestMetadata facts, RouteSpec route, Optional<AccountGrant> account, RequestLimits limits) {
 
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/HeaderTranslation.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/HeaderTranslation.java
@@ -22,7 +22,7 @@
 	 * @return the values that the headers carry
 	 * @throws IllegalArgumentException if a header is malformed
 	 */
-	RequestFacts readRequest(List<HttpHeader> headers);
+	RequestMetadata readRequest(List<HttpHeader> headers);
 
 	/**
 	 * Return the request id that the caller assigned.
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/RequestFacts.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/RequestMetadata.java
@@ -10,18 +10,18 @@
  *
  * @param id the request id that the caller assigned, or empty text if there is none
  * @param key the key of the client account; empty if the request has none
- * @param patienceMillis the time for which the caller waits, in milliseconds; empty if
+ * @param callerTimeoutMillis the time for which the caller waits, in milliseconds; empty if
  * not stated
- * @param work the work for an engine; empty for a plain service
+ * @param size the work for an engine; empty for a plain service
  * @since 0.2
  */
-public record RequestFacts(String id, Optional<String> key, Optional<Long> patienceMillis, Optional<GenerationSize> work) {
+public record RequestMetadata(String id, Optional<String> key, Optional<Long> callerTimeoutMillis, Optional<GenerationSize> size) {
 
-	public RequestFacts {
+	public RequestMetadata {
 		Objects.requireNonNull(id, "id must not be null");
 		Objects.requireNonNull(key, "key must not be null");
-		Objects.requireNonNull(patienceMillis, "patienceMillis must not be null");
-		Objects.requireNonNull(work, "work must not be null");
+		Objects.requireNonNull(callerTimeoutMillis, "callerTimeoutMillis must not be null");
+		Objects.requireNonNull(size, "size must not be null");
 	}
 
 }
