--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/ServingSource.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/ConfigurationSource.java
@@ -16,14 +16,14 @@
  *
  * @since 0.2
  */
-public interface ServingSource {
+public interface ConfigurationSource {
 
 	/**
 	 * Return the store calls for a follower.
 	 * @param follower the supplier of the follower that receives the answers
 	 * @return the outputs of the follower
 	 */
-	StoreCalls calls(Supplier<StoreFollower> follower);
+	StoreCalls storeCalls(Supplier<StoreFollower> follower);
 
 	/**
 	 * Determine whether a key holds the plan.
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlanAndTargets.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlanAndTargets.java
@@ -45,7 +45,7 @@
 	/** Limits the length of the audit line about missed changes. */
 	private static final int MAX_LOGGED_MISSED_KEYS = 8;
 
-	private final ServingSource source;
+	private final ConfigurationSource source;
 
 	private final TargetDirectory directory;
 
@@ -77,7 +77,7 @@
 
 	private volatile int restoreCount;
 
-	PlanAndTargets(ServingSource source, TargetDirectory directory, Evacuations evacuations,
+	PlanAndTargets(ConfigurationSource source, TargetDirectory directory, Evacuations evacuations,
 			Consumer<ServingPlan> planListener, AuditSink audit, BackgroundExecutor background, Timers timers) {
 		this.timers = timers;
 		this.source = source;
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/StoreView.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/StoreView.java
@@ -50,14 +50,14 @@
 	 * @param background the executor for parsing large plans
 	 * @param audit the sink for audit events
 	 */
-	StoreView(ServingSource source, FollowSettings settings, DirectoryListener members,
+	StoreView(ConfigurationSource source, FollowSettings settings, DirectoryListener members,
 			EvacuationListener evacuationListener, Consumer<ServingPlan> planListener, SharedWatch watch,
 			Timers timers, RandomGenerator random, BackgroundExecutor background, AuditSink audit) {
 		this.evacuations = new Evacuations(evacuationListener);
 		this.directory = new TargetDirectory(members, this.evacuations, timers);
 		this.published = new PlanAndTargets(source, this.directory, this.evacuations, planListener, audit, background,
 				timers);
-		this.follower = new StoreFollower(settings, source.calls(this::follower), this.published, timers,
+		this.follower = new StoreFollower(settings, source.storeCalls(this::follower), this.published, timers,
 				new Backoff(FIRST_BACKOFF, MAX_BACKOFF, random), watch);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetRegistrations.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetRegistrations.java
@@ -30,7 +30,7 @@
  */
 final class TargetRegistrations {
 
-	private final ServingSource source;
+	private final ConfigurationSource source;
 
 	private final TargetDirectory directory;
 
@@ -47,7 +47,7 @@
 
 	private Optional<ServingPlan> plan = Optional.empty();
 
-	TargetRegistrations(ServingSource source, TargetDirectory directory, Evacuations evacuations, RefusedItems refused,
+	TargetRegistrations(ConfigurationSource source, TargetDirectory directory, Evacuations evacuations, RefusedItems refused,
 			AuditSink audit) {
 		this.source = source;
 		this.directory = directory;
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -491,7 +491,7 @@
 
 	}
 
-	private final class Source implements ServingSource, StoreCalls {
+	private final class Source implements ConfigurationSource, StoreCalls {
 
 		private final Entry entry;
 
@@ -504,7 +504,7 @@
 		}
 
 		@Override
-		public StoreCalls calls(Supplier<StoreFollower> followerSupplier) {
+		public StoreCalls storeCalls(Supplier<StoreFollower> followerSupplier) {
 			this.follower = followerSupplier;
 			return this;
 		}
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
@@ -266,10 +266,10 @@
 	 * Source with plans of the form {@code VERSION SERVICE...} and targets of the form
 	 * {@code SERVICE HOST [leaving]}. A question mark is unreadable.
 	 */
-	private static final class Plans implements ServingSource {
+	private static final class Plans implements ConfigurationSource {
 
 		@Override
-		public StoreCalls calls(Supplier<StoreFollower> follower) {
+		public StoreCalls storeCalls(Supplier<StoreFollower> follower) {
 			throw new UnsupportedOperationException();
 		}
 
