--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
@@ -25,7 +25,7 @@
 
 	private final AsyncHttpClient http;
 
-	private final HeaderTranslation translation;
+	private final HeaderTranslator translator;
 
 	private final EngineCommands engines;
 
@@ -37,11 +37,11 @@
 
 	private long lastCallNumber;
 
-	DirectCalls(EventLoop loop, AsyncHttpClient http, HeaderTranslation translation, EngineCommands engines, CallTimes times) {
+	DirectCalls(EventLoop loop, AsyncHttpClient http, HeaderTranslator translator, EngineCommands engines, CallTimes times) {
 		this.times = times;
 		this.loop = loop;
 		this.http = http;
-		this.translation = translation;
+		this.translator = translator;
 		this.engines = engines;
 	}
 
@@ -68,7 +68,7 @@
 	public void send(long call, int attempt, ListedTarget target, SendParameters parameters) {
 		OpenCall openCall = this.open.get(call);
 		TargetAttempt targetAttempt = new TargetAttempt(call, attempt, target, parameters, openCall.request, this.dispatcher,
-				this.translation, this.loop);
+				this.translator, this.loop);
 		openCall.attempts.put(attempt, targetAttempt);
 		this.loop.run(() -> {
 			if (!targetAttempt.isAbandoned()) {
@@ -109,7 +109,7 @@
 
 	@Override
 	public void refuse(long call, Refusal refusal) {
-		closeCall(call).ifPresent((o) -> o.request.refuse(refusal, this.translation.forRefusal(refusal, o.requestId)));
+		closeCall(call).ifPresent((o) -> o.request.refuse(refusal, this.translator.rejectionHeaders(refusal, o.requestId)));
 	}
 
 	@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
@@ -61,7 +61,7 @@
 
 	private final DirectCalls calls;
 
-	private final HeaderTranslation translation;
+	private final HeaderTranslator translator;
 
 	private final Supplier<Optional<ServingPlan>> plan;
 
@@ -83,12 +83,12 @@
 
 	private int unfinishedAnswers;
 
-	DirectServer(IoWorker io, InetSocketAddress address, DirectCalls calls, HeaderTranslation translation,
+	DirectServer(IoWorker io, InetSocketAddress address, DirectCalls calls, HeaderTranslator translator,
 			Supplier<Optional<ServingPlan>> plan, GracefulShutdown shutdown, EventLoop loop, LongPredicate isDeferring,
 			RandomGenerator random, AuditSink audit) {
 		this.isDeferring = isDeferring;
 		this.calls = calls;
-		this.translation = translation;
+		this.translator = translator;
 		this.plan = plan;
 		this.shutdown = shutdown;
 		this.loop = loop;
@@ -189,7 +189,7 @@
 		}
 		RequestMetadata metadata;
 		try {
-			metadata = this.translation.readRequest(request.headers());
+			metadata = this.translator.readRequest(request.headers());
 		}
 		catch (IllegalArgumentException ex) {
 			return Either.left(Refusal.permanent(RefusalReason.BAD_REQUEST, ex.getMessage()));
@@ -265,10 +265,10 @@
 	}
 
 	private void refuse(CallerRequest request, Refusal refusal) {
-		this.audit.record(AuditEvent.of(AuditKind.REFUSED, this.translation.requestId(request.headers()), "",
+		this.audit.record(AuditEvent.of(AuditKind.REFUSED, this.translator.requestId(request.headers()), "",
 				"at admission, " + refusal.reason().label() + ", plan "
 						+ this.plan.get().map(ServingPlan::version).orElse(0L) + ": " + refusal.detail()));
-		request.refuse(refusal, this.translation.forRefusal(refusal, ""));
+		request.refuse(refusal, this.translator.rejectionHeaders(refusal, ""));
 	}
 
 	private static Refusal tooLarge(RequestLimits limits) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/HeaderTranslation.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/HeaderTranslator.java
@@ -14,7 +14,7 @@
  *
  * @since 0.2
  */
-public interface HeaderTranslation {
+public interface HeaderTranslator {
 
 	/**
 	 * Read the headers of a caller's request.
@@ -36,10 +36,10 @@
 	 * @param fromCaller the end-to-end headers of the caller
 	 * @param target the target that receives the request
 	 * @param parameters how the request is sent
-	 * @param leftMillis the time left for the target, in milliseconds
+	 * @param remainingMillis the time left for the target, in milliseconds
 	 * @return the headers to send
 	 */
-	List<HttpHeader> forTarget(List<HttpHeader> fromCaller, ListedTarget target, SendParameters parameters, long leftMillis);
+	List<HttpHeader> forTarget(List<HttpHeader> fromCaller, ListedTarget target, SendParameters parameters, long remainingMillis);
 
 	/**
 	 * Read the head of a target's answer.
@@ -54,6 +54,6 @@
 	 * @param requestId the id that the caller assigned, or empty text
 	 * @return the headers to add to the answer
 	 */
-	List<HttpHeader> forRefusal(Refusal refusal, String requestId);
+	List<HttpHeader> rejectionHeaders(Refusal refusal, String requestId);
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlatformAdapter.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PlatformAdapter.java
@@ -11,7 +11,7 @@
  * @param engines the control commands to engines
  * @since 0.2
  */
-public record PlatformAdapter(HeaderTranslation headers, ConfigurationSource source, EngineCommands engines) {
+public record PlatformAdapter(HeaderTranslator headers, ConfigurationSource source, EngineCommands engines) {
 
 	/**
 	 * Factory of adapters.
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/TargetAttempt.java
@@ -41,7 +41,7 @@
 
 	private final Dispatcher dispatcher;
 
-	private final HeaderTranslation translation;
+	private final HeaderTranslator translator;
 
 	private final EventLoop loop;
 
@@ -60,14 +60,14 @@
 	private boolean abandoned;
 
 	TargetAttempt(long call, int number, ListedTarget target, SendParameters parameters, CallerRequest request,
-			Dispatcher dispatcher, HeaderTranslation translation, EventLoop loop) {
+			Dispatcher dispatcher, HeaderTranslator translator, EventLoop loop) {
 		this.call = call;
 		this.number = number;
 		this.target = target;
 		this.parameters = parameters;
 		this.request = request;
 		this.dispatcher = dispatcher;
-		this.translation = translation;
+		this.translator = translator;
 		this.loop = loop;
 	}
 
@@ -107,7 +107,7 @@
 			return Optional.empty();
 		}
 		return Optional.of(new HttpRequest(
-				server(), this.request.method(), this.request.uri(), this.translation
+				server(), this.request.method(), this.request.uri(), this.translator
 					.forTarget(this.request.forwardedHeaders(), this.target, this.parameters, remainingMillis.getAsLong()),
 				this.request.body()));
 	}
@@ -125,7 +125,7 @@
 	public void onHead(HttpResponseHead received) {
 		this.loop.begin();
 		this.head = received;
-		this.answerHead = this.translation.readAnswer(received);
+		this.answerHead = this.translator.readAnswer(received);
 		this.isEventStream = this.dispatcher.headReceived(this.call, this.number, this.answerHead, this.loop.now());
 	}
 
