--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -173,7 +173,7 @@
 	public DirectEntry(DirectSettings settings, PlatformAdapter.Factory platform, LongSupplier clock) {
 		this.settings = settings;
 		this.activeSettings = settings;
-		this.shutdown = new GracefulShutdown(settings.takeAllMillis(), settings.graceMillis() - EXIT_MARGIN_MILLIS);
+		this.shutdown = new GracefulShutdown(settings.acceptAllMillis(), settings.graceMillis() - EXIT_MARGIN_MILLIS);
 		SplittableRandom random = new SplittableRandom(ThreadLocalRandom.current().nextLong());
 		this.estimates = new TargetEstimates(this::peerWork, random);
 		this.estimates.onUnreachable((t) -> this.audit.record(AuditEvent.of(AuditKind.TARGET_HEALTH, t.id(), t.id(),
@@ -242,7 +242,7 @@
 		OperatorServer operators = new OperatorServer(this.io.worker(), this.settings.operators(), this.metrics,
 				this.audit, this::isReady, this::status, Handlers.routing());
 		operators.start();
-		this.peers.listen(this.settings.news());
+		this.peers.listen(this.settings.gossipAddress());
 		this.loop.run(() -> this.peers.start(this.loop.now()));
 		this.loop.run(() -> this.suspects.start(this.loop.now()));
 		if (this.settings.mechanisms().isEnabled(Mechanism.LEAVING_INQUIRY)) {
@@ -284,7 +284,7 @@
 		}
 		DirectSettings reloaded = parsed.get();
 		this.loop.run(() -> this.activeSettings = reloaded);
-		boolean isFullyApplied = reloaded.equalsButForRetryBounds(this.settings);
+		boolean isFullyApplied = reloaded.equalsExceptRetryBounds(this.settings);
 		LogLine.of("reload")
 			.with("outcome", isFullyApplied ? "taken" : "in part: other changed settings need a restart")
 			.info();
@@ -321,7 +321,7 @@
 	private boolean awaitPlan() {
 		try {
 			if (!this.opened.await(PEER_FALLBACK_DELAY_MILLIS, TimeUnit.MILLISECONDS)) {
-				this.peers.listen(this.settings.news());
+				this.peers.listen(this.settings.gossipAddress());
 				this.loop.run(() -> this.snapshots.start(this.loop.now()));
 				this.opened.await();
 			}
@@ -382,7 +382,7 @@
 	private void pollPlan(long startedAt) {
 		long now = this.loop.now();
 		boolean isComplete = this.store.published().isComplete();
-		if (!this.open && (isComplete || now - startedAt >= this.settings.startHoldMillis())) {
+		if (!this.open && (isComplete || now - startedAt >= this.settings.maxStartWaitMillis())) {
 			this.open = true;
 			this.callers.open();
 			this.opened.countDown();
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectSettings.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectSettings.java
@@ -20,7 +20,7 @@
  * @param callers the address that callers connect to
  * @param readiness the address of the readiness check
  * @param operators the address for operators and metric scrapes
- * @param news the address at which other entries send gossip
+ * @param gossipAddress the address at which other entries send gossip
  * @param seeds addresses of instances on which entries may run, {@code IP:PORT}; the port
  * is replaced by that of {@code news}, which is the same for all entries
  * @param store the address of the platform's store
@@ -33,17 +33,17 @@
  * @param coldBound how far the fleet may exceed the rate that a cold target sustains
  * @param graceMillis the time from the shutdown request to the end of the process, in
  * milliseconds
- * @param takeAllMillis the time after the shutdown request during which all requests are
+ * @param acceptAllMillis the time after the shutdown request during which all requests are
  * accepted, in milliseconds; later ones are accepted only if the time left is sufficient
- * @param startHoldMillis the longest time for which requests that arrive during the start
+ * @param maxStartWaitMillis the longest time for which requests that arrive during the start
  * wait unread for the plan, in milliseconds
  * @param mechanisms the mechanisms that are switched on
  * @since 0.2
  */
 public record DirectSettings(String instance, String dataCentre, Map<String, String> regions, InetSocketAddress callers,
-		InetSocketAddress readiness, InetSocketAddress operators, InetSocketAddress news, List<String> seeds,
+		InetSocketAddress readiness, InetSocketAddress operators, InetSocketAddress gossipAddress, List<String> seeds,
 		InetSocketAddress store, FollowSettings follow, long retryWindowMillis, double retryRatio, double retryExtra,
-		double retryExtraShare, ColdRateLimit coldBound, long graceMillis, long takeAllMillis, long startHoldMillis,
+		double retryExtraShare, ColdRateLimit coldBound, long graceMillis, long acceptAllMillis, long maxStartWaitMillis,
 		Mechanisms mechanisms) {
 
 	/** Longest time for which the store holds a watch; see {@link FollowSettings}. */
@@ -117,11 +117,11 @@
 	 * @param other the settings to compare
 	 * @return {@code true} if nothing else differs
 	 */
-	public boolean equalsButForRetryBounds(DirectSettings other) {
+	public boolean equalsExceptRetryBounds(DirectSettings other) {
 		return equals(new DirectSettings(other.instance, other.dataCentre, other.regions, other.callers,
-				other.readiness, other.operators, other.news, other.seeds, other.store, other.follow,
+				other.readiness, other.operators, other.gossipAddress, other.seeds, other.store, other.follow,
 				other.retryWindowMillis, this.retryRatio, this.retryExtra, this.retryExtraShare, other.coldBound,
-				other.graceMillis, other.takeAllMillis, other.startHoldMillis, other.mechanisms));
+				other.graceMillis, other.acceptAllMillis, other.maxStartWaitMillis, other.mechanisms));
 	}
 
 	private static Map<String, String> regions(DocumentObject root) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -84,7 +84,7 @@
 	PeerEntries(DirectSettings settings, TargetEstimates estimates, SharedRetryBudget retries, EventLoop loop,
 			RandomGenerator random, AuditSink audit) {
 		this.mechanisms = settings.mechanisms();
-		this.ownAddress = addressText(settings.news());
+		this.ownAddress = addressText(settings.gossipAddress());
 		this.estimates = estimates;
 		this.retries = retries;
 		this.loop = loop;
@@ -269,7 +269,7 @@
 	private static Set<String> seeds(DirectSettings settings) {
 		return settings.seeds()
 			.stream()
-			.map((a) -> a.substring(0, a.lastIndexOf(':') + 1) + settings.news().getPort())
+			.map((a) -> a.substring(0, a.lastIndexOf(':') + 1) + settings.gossipAddress().getPort())
 			.collect(Collectors.toSet());
 	}
 
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/DirectSettingsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/DirectSettingsTests.java
@@ -23,15 +23,15 @@
 	@Test
 	void allowsRetryBoundsToChangeWithoutRestart() {
 		DirectSettings changed = read(TEXT.replace("0.2", "0.1").replace("50", "60"));
-		assertThat(changed.equalsButForRetryBounds(this.settings)).isTrue();
+		assertThat(changed.equalsExceptRetryBounds(this.settings)).isTrue();
 		assertThat(changed).isNotEqualTo(this.settings);
 	}
 
 	@Test
 	void detectsChangesThatNeedARestart() {
-		assertThat(read(TEXT.replace(":81", ":91")).equalsButForRetryBounds(this.settings)).isFalse();
-		assertThat(read(TEXT.replace(":83", ":93")).equalsButForRetryBounds(this.settings)).isFalse();
-		assertThat(read(TEXT.replace("8 }", "9 }")).equalsButForRetryBounds(this.settings)).isFalse();
+		assertThat(read(TEXT.replace(":81", ":91")).equalsExceptRetryBounds(this.settings)).isFalse();
+		assertThat(read(TEXT.replace(":83", ":93")).equalsExceptRetryBounds(this.settings)).isFalse();
+		assertThat(read(TEXT.replace("8 }", "9 }")).equalsExceptRetryBounds(this.settings)).isFalse();
 	}
 
 	@Test
