--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetLimitsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetRateLimitsTests.java
@@ -13,7 +13,7 @@
 /**
  * Tests for {@link TargetRateLimits} of a single entry.
  */
-class TargetLimitsTests {
+class TargetRateLimitsTests {
 
 	private final ListedTarget target = new ListedTarget("t", "s", "10.0.0.1", 80, "dc", 6, false);
 
@@ -84,11 +84,11 @@
 	@Test
 	void latestLimitAppliesAndIsNotReplacedByItsOwnEcho() {
 		report(3, 1_000);
-		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 700), 1_600)).isFalse();
-		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 600), 1_640)).isFalse();
-		assertThat(this.limits.recordGossiped(news(OptionalDouble.of(9), 100), 1_600)).isTrue();
-		assertThat(this.limits.updates(1_600)).containsExactly(news(OptionalDouble.of(9), 100));
-		assertThat(this.limits.recordGossiped(news(OptionalDouble.empty(), 0), 1_700)).isTrue();
+		assertThat(this.limits.recordGossiped(update(OptionalDouble.of(9), 700), 1_600)).isFalse();
+		assertThat(this.limits.recordGossiped(update(OptionalDouble.of(9), 600), 1_640)).isFalse();
+		assertThat(this.limits.recordGossiped(update(OptionalDouble.of(9), 100), 1_600)).isTrue();
+		assertThat(this.limits.updates(1_600)).containsExactly(update(OptionalDouble.of(9), 100));
+		assertThat(this.limits.recordGossiped(update(OptionalDouble.empty(), 0), 1_700)).isTrue();
 		assertThat(this.limits.freeInMillis(this.target, 1_700)).isEqualTo(0);
 	}
 
@@ -98,7 +98,7 @@
 		assertThat(this.limits.recordReported(this.target, OptionalDouble.of(3), 10, 10)).isFalse();
 		assertThat(this.limits.recordReported(this.target, OptionalDouble.of(4), 20, 20)).isTrue();
 		assertThat(this.limits.recordReported(this.target, OptionalDouble.empty(), 2_000, 2_000)).isTrue();
-		assertThat(this.limits.updates(12_000)).containsExactly(news(OptionalDouble.empty(), 10_000));
+		assertThat(this.limits.updates(12_000)).containsExactly(update(OptionalDouble.empty(), 10_000));
 		assertThat(this.limits.updates(12_001)).isEmpty();
 	}
 
@@ -124,7 +124,7 @@
 	void invalidLimitFromOthersIsIgnored() {
 		for (double invalid : new double[] { -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9 }) {
 			assertThat(TargetRateLimits.isValid(invalid)).isFalse();
-			assertThat(this.limits.recordGossiped(news(OptionalDouble.of(invalid), 0), 100)).isFalse();
+			assertThat(this.limits.recordGossiped(update(OptionalDouble.of(invalid), 0), 100)).isFalse();
 		}
 		assertThat(this.limits.count()).isEqualTo(0);
 	}
@@ -164,7 +164,7 @@
 		this.limits.recordReported(this.target, perSecond, requestSentAt, now);
 	}
 
-	private RateLimitUpdate news(OptionalDouble perSecond, long ageMillis) {
+	private RateLimitUpdate update(OptionalDouble perSecond, long ageMillis) {
 		return new RateLimitUpdate(this.target.incarnation(), perSecond, ageMillis);
 	}
 
