--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/RequestShareTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/ProportionalShareTests.java
@@ -9,7 +9,7 @@
 /**
  * Tests for {@link ProportionalShare}.
  */
-class RequestShareTests {
+class ProportionalShareTests {
 
 	@Test
 	void shareIsEqualWhileRequestsOfOthersAreUnknown() {
