--- a/laneworks-core/src/test/java/dev/laneworks/core/poison/BrokenRequestsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/poison/BrokenConnectionsTests.java
@@ -10,7 +10,7 @@
 /**
  * Tests for {@link BrokenConnections}.
  */
-class BrokenRequestsTests {
+class BrokenConnectionsTests {
 
 	private static final RequestDigest ONE = new RequestDigest(0, 0, 1);
 
