--- a/laneworks-core/src/test/java/dev/laneworks/core/time/UsualTimeTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/time/AdaptiveTimeoutTests.java
@@ -7,7 +7,7 @@
 /**
  * Tests for {@link AdaptiveTimeout}.
  */
-class UsualTimeTests {
+class AdaptiveTimeoutTests {
 
 	private static final long MIN = 250;
 
