--- a/laneworks-core/src/test/java/dev/laneworks/core/configuration/ConfigurationLedgerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/configuration/ConfigurationHolderTests.java
@@ -7,7 +7,7 @@
 /**
  * Tests for {@link ConfigurationHolder}.
  */
-class ConfigurationLedgerTests {
+class ConfigurationHolderTests {
 
 	private final ConfigurationHolder holder = new ConfigurationHolder();
 
