--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/RetryWindowTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/SharedRetryBudgetTests.java
@@ -10,7 +10,7 @@
 /**
  * Tests for {@link SharedRetryBudget}.
  */
-class RetryWindowTests {
+class SharedRetryBudgetTests {
 
 	@Test
 	void allowsShareOfRequestsPlusFixedNumberPerWindow() {
