--- a/laneworks-core/src/test/java/dev/laneworks/core/stream/TokenSealerTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/stream/TokenSignerTests.java
@@ -17,7 +17,7 @@
  * Tests for {@link TokenSigner}. They guard against the acceptance of forged or modified
  * tokens.
  */
-class TokenSealerTests {
+class TokenSignerTests {
 
 	private static final byte[] SECRET = "sixteen bytes at least".getBytes(StandardCharsets.UTF_8);
 
