--- a/laneworks-core/src/test/java/dev/laneworks/core/inquiry/LeavingInquiryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/inquiry/DrainingQueryTests.java
@@ -17,7 +17,7 @@
  * Tests for {@link DrainingQuery}. They guard against missed reclaim notices and against
  * answers applied to the wrong incarnation.
  */
-class LeavingInquiryTests {
+class DrainingQueryTests {
 
 	private final List<String> calls = new ArrayList<>();
 
@@ -97,17 +97,17 @@
 
 		@Override
 		public void query(ListedTarget engine) {
-			LeavingInquiryTests.this.calls.add("ask " + engine.id());
+			DrainingQueryTests.this.calls.add("ask " + engine.id());
 		}
 
 		@Override
 		public void draining(ListedTarget engine, EngineAnswer answer, long now) {
-			LeavingInquiryTests.this.calls.add(engine.id() + " leaves in " + answer.stopsInMillis().orElse(-1));
+			DrainingQueryTests.this.calls.add(engine.id() + " leaves in " + answer.stopsInMillis().orElse(-1));
 		}
 
 		@Override
 		public void connectionRefused(ListedTarget engine, long now) {
-			LeavingInquiryTests.this.calls.add(engine.id() + " refused");
+			DrainingQueryTests.this.calls.add(engine.id() + " refused");
 		}
 
 	}
