--- a/laneworks-wire/src/test/java/dev/laneworks/wire/EntryNewsCodecTests.java
+++ b/laneworks-wire/src/test/java/dev/laneworks/wire/LoadUpdateCodecTests.java
@@ -16,7 +16,7 @@
 /**
  * Tests for {@link LoadUpdateCodec}.
  */
-class EntryNewsCodecTests {
+class LoadUpdateCodecTests {
 
 	@Test
 	void decodesWhatWasEncoded() {
