--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/BoundedCallsTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/TimedHttpClientTests.java
@@ -17,7 +17,7 @@
  * Tests for {@link TimedHttpClient}.
  */
 @Timeout(60)
-class BoundedCallsTests extends LoopbackTestSupport {
+class TimedHttpClientTests extends LoopbackTestSupport {
 
 	private final BlockingQueue<Either<IOException, ResponseCollector.Response>> answers = new ArrayBlockingQueue<>(10);
 
