--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
@@ -202,7 +202,7 @@
 		}
 
 		private void begin(long number) {
-			cancel();
+			cancelRequest();
 			this.call = number;
 			this.watchedRevision = Long.MAX_VALUE;
 		}
@@ -217,7 +217,7 @@
 					});
 		}
 
-		private void cancel() {
+		private void cancelRequest() {
 			Transfer open = LargeItemSimulation.this.transfers.remove(this);
 			if (open != null) {
 				LargeItemSimulation.this.cancelled++;
@@ -232,7 +232,7 @@
 
 		@Override
 		public void cancel() {
-			cancel();
+			cancelRequest();
 			this.call = -1;
 			this.watchedRevision = Long.MAX_VALUE;
 		}
