--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -192,7 +192,7 @@
 	 * @return the sum; empty while no other entry is known
 	 */
 	public Optional<RetryBudgetUsage> budgetUsageOfOthers(String service, long windowMillis, long now) {
-		return this.known.spending(service, windowMillis, now);
+		return this.known.budgetUsage(service, windowMillis, now);
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/PeerTable.java
@@ -87,7 +87,7 @@
 	 * @param now the current time in milliseconds
 	 * @return the sum; empty while no peer is known
 	 */
-	Optional<RetryBudgetUsage> spending(String service, long windowMillis, long now) {
+	Optional<RetryBudgetUsage> budgetUsage(String service, long windowMillis, long now) {
 		this.departed.removeIf((p) -> p.silentMillis(now) > windowMillis);
 		if (this.peers.isEmpty()) {
 			return Optional.empty();
