--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdateWriter.java
@@ -22,7 +22,7 @@
 
 	private long sequence;
 
-	private boolean ending;
+	private boolean shuttingDown;
 
 	/**
 	 * Create a writer.
@@ -40,11 +40,11 @@
 
 	// Marks all further updates as those of an entry that shuts down.
 	void end() {
-		this.ending = true;
+		this.shuttingDown = true;
 	}
 
 	boolean isEnding() {
-		return this.ending;
+		return this.shuttingDown;
 	}
 
 	boolean isFromThisProcess(LoadUpdate update) {
@@ -53,36 +53,36 @@
 
 	/**
 	 * Build an update with the work at all targets.
-	 * @param againMillis the longest time until the next update to the same receivers, in
+	 * @param nextWithinMillis the longest time until the next update to the same receivers, in
 	 * milliseconds
 	 * @param peers the addresses of other entries to pass on
 	 * @return an update with the next sequence number
 	 */
-	LoadUpdate ofAllWork(long againMillis, List<String> peers) {
-		return build(false, againMillis, this.outputs.localWork(), peers);
+	LoadUpdate ofAllWork(long nextWithinMillis, List<String> peers) {
+		return build(false, nextWithinMillis, this.outputs.localWork(), peers);
 	}
 
 	/**
 	 * Build an update with the work at some targets only.
 	 * @param targets the incarnations of the targets
-	 * @param againMillis the longest time until the next update to the same receivers, in
+	 * @param nextWithinMillis the longest time until the next update to the same receivers, in
 	 * milliseconds
 	 * @return the update, which lists targets without work as well
 	 */
-	LoadUpdate ofWorkAt(Set<TargetIncarnation> targets, long againMillis) {
+	LoadUpdate ofWorkAt(Set<TargetIncarnation> targets, long nextWithinMillis) {
 		Map<TargetIncarnation, WorkAtTarget> work = new HashMap<>();
 		targets.forEach((t) -> work.put(t, WorkAtTarget.none(t)));
 		this.outputs.localWork()
 			.stream()
 			.filter((w) -> targets.contains(w.target()))
 			.forEach((w) -> work.put(w.target(), w));
-		return build(true, againMillis, List.copyOf(work.values()), List.of());
+		return build(true, nextWithinMillis, List.copyOf(work.values()), List.of());
 	}
 
-	private LoadUpdate build(boolean isPartial, long againMillis, List<WorkAtTarget> work, List<String> peers) {
+	private LoadUpdate build(boolean isPartial, long nextWithinMillis, List<WorkAtTarget> work, List<String> peers) {
 		this.sequence++;
-		return new LoadUpdate(this.instance, this.dataCentre, this.incarnation, this.sequence, this.ending, isPartial,
-				againMillis, work, this.outputs.ownBudgetUsage(), this.outputs.signals(), peers);
+		return new LoadUpdate(this.instance, this.dataCentre, this.incarnation, this.sequence, this.shuttingDown, isPartial,
+				nextWithinMillis, work, this.outputs.ownBudgetUsage(), this.outputs.signals(), peers);
 	}
 
 }
