--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostContext.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostContext.java
@@ -6,7 +6,7 @@
  * Shared components of one {@link GenerationHost}.
  *
  * @param settings the limits and timeouts
- * @param ledger the current configuration
+ * @param configurationHolder the current configuration
  * @param outputs the operations on entries, the target and other sidecars
  * @param audit the audit log of the host
  * @param counters the counters of the host
@@ -14,7 +14,7 @@
  * @param delivery the delivery of output to readers
  * @param admission the admission control of the target
  */
-record HostContext(HostSettings settings, ConfigurationHolder ledger, HostOutputs outputs, HostAudit audit,
+record HostContext(HostSettings settings, ConfigurationHolder configurationHolder, HostOutputs outputs, HostAudit audit,
 		HostCounters counters, GenerationRegistry registry, Delivery delivery, AdmissionController admission) {
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -37,7 +37,7 @@
 	 * @param now the current time in milliseconds
 	 */
 	void decide(Generation generation, IdempotencyKey key, long now) {
-		KeyDecision decision = this.keyGuard.decide(key, generation.work().model(), this.context.ledger(), now);
+		KeyDecision decision = this.keyGuard.decide(key, generation.work().model(), this.context.configurationHolder(), now);
 		if (decision instanceof KeyDecision.Refuse refuse) {
 			Reader reader = generation.reader().orElseThrow();
 			this.context.delivery().detachReader(generation, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/RequestAcceptor.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/RequestAcceptor.java
@@ -128,7 +128,7 @@
 	}
 
 	private double weight(SidecarRequest request) {
-		return this.context.ledger()
+		return this.context.configurationHolder()
 			.current()
 			.flatMap((c) -> c.accountByName(request.account()))
 			.map((a) -> a.weight())
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/Revoker.java
@@ -49,7 +49,7 @@
 				|| this.context.registry().isDiscarded(name)) {
 			return RevocationOutcome.HAS_RUN;
 		}
-		Optional<FleetConfiguration> configuration = this.context.ledger().current();
+		Optional<FleetConfiguration> configuration = this.context.configurationHolder().current();
 		if (generation.isEmpty() && !configuration.filter((c) -> this.keyGuard.coversRetryWindow(c, now)).isPresent()) {
 			return RevocationOutcome.UNKNOWN;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/SlotAllocator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/SlotAllocator.java
@@ -87,7 +87,7 @@
 	private boolean mayStillRun(Generation generation, long now) {
 		return generation.work()
 			.idempotencyKey()
-			.map((k) -> this.keyGuard.mayStillRun(k, generation.work().model(), this.context.ledger(), now))
+			.map((k) -> this.keyGuard.mayStillRun(k, generation.work().model(), this.context.configurationHolder(), now))
 			.orElse(true);
 	}
 
