--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -193,7 +193,7 @@
 	}
 
 	private static EntryStatus.TargetStatus targetStatus(EntryState state, TargetDescription target, long now) {
-		TargetState targetState = state.board().state(target.name());
+		TargetState targetState = state.targetStates().state(target.name());
 		return new EntryStatus.TargetStatus(target.name(), target.dataCentre(),
 				state.coordinator().incarnation(target.name()).isPresent(), targetState.isDraining(),
 				!targetState.health().isUsable(now), targetState.inFlight(), targetState.reportAgeMillis(now),
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/EntryState.java
@@ -34,7 +34,7 @@
 
 	private final Map<String, InetSocketAddress> seeds;
 
-	private final TargetStates board;
+	private final TargetStates targetStates;
 
 	private final DefaultTargetSelector selector;
 
@@ -46,7 +46,7 @@
 
 	EntryState(TargetStates states, DefaultTargetSelector selector, TargetLinks links,
 			Map<String, InetSocketAddress> seeds) {
-		this.board = states;
+		this.targetStates = states;
 		this.selector = selector;
 		this.links = links;
 		this.seeds = Map.copyOf(seeds);
@@ -67,8 +67,8 @@
 		return this.exchange.keeper();
 	}
 
-	TargetStates board() {
-		return this.board;
+	TargetStates targetStates() {
+		return this.targetStates;
 	}
 
 	DefaultTargetSelector selector() {
@@ -90,7 +90,7 @@
 		this.coordinator.applyConfiguration(configuration);
 		Map<String, InetSocketAddress> addresses = new HashMap<>();
 		configuration.targets().forEach((t) -> addresses.put(t.name(), new InetSocketAddress(t.host(), t.port())));
-		this.board.retain(addresses.keySet());
+		this.targetStates.retain(addresses.keySet());
 		Set<String> permanentLinks = this.selector.usedTargets()
 			.stream()
 			.map(TargetDescription::name)
