--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -193,14 +193,14 @@
 		TargetRateLimits limits = new TargetRateLimits(
 				new ProportionalShare(() -> this.recentEntryCount, this::ownRequests, this::peerRequests),
 				this.peers::phase);
-		this.backpressure = new TargetBackpressure(limits, this.peers::announceNeeds, this.audit);
+		this.backpressure = new TargetBackpressure(limits, this.peers::announceSignals, this.audit);
 		MembershipEvents members = new MembershipEvents(this.estimates, this.cold, this.backpressure, this.loop, this.audit);
 		this.store = new StoreView(adapter.source(), settings.follow(), members, members, this::use,
-				this.peers.reading(), timers, random, new DefaultBackgroundExecutor(thread), this.audit);
+				this.peers.watch(), timers, random, new DefaultBackgroundExecutor(thread), this.audit);
 		this.directory = this.store.directory();
 		Eligibility eligibility = new Eligibility(this.directory, this.estimates, this.cold, this.backpressure,
 				settings.regions());
-		this.peers.shareNeeds(this.backpressure, this.directory::isCurrentIncarnation);
+		this.peers.shareSignals(this.backpressure, this.directory::isCurrentIncarnation);
 		TargetChooser chooser = new TargetChooser(eligibility, this.estimates, settings.dataCentre(), random,
 				settings.mechanisms());
 		this.dispatcher = new Dispatcher(DispatchSettings.defaults(settings.mechanisms()), this.directory, this.estimates,
@@ -416,7 +416,7 @@
 	}
 
 	private Optional<RetryBudgetUsage> peerSpending(String service, long windowMillis, long now) {
-		return this.settings.mechanisms().isEnabled(Mechanism.SHARED_BUDGET) ? this.peers.spending(service, windowMillis, now)
+		return this.settings.mechanisms().isEnabled(Mechanism.SHARED_BUDGET) ? this.peers.budgetUsage(service, windowMillis, now)
 				: Optional.empty();
 	}
 
@@ -429,7 +429,7 @@
 	}
 
 	private OptionalLong peerRequests(String service, long now) {
-		return this.peers.spending(service, this.settings.retryWindowMillis(), now)
+		return this.peers.budgetUsage(service, this.settings.retryWindowMillis(), now)
 			.stream()
 			.mapToLong(RetryBudgetUsage::requests)
 			.findFirst();
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -58,7 +58,7 @@
 
 	private final Gossip gossip;
 
-	private final SharedWatch reading;
+	private final SharedWatch watch;
 
 	/** Addresses at which entries may receive gossip. */
 	private final Set<String> seeds;
@@ -91,7 +91,7 @@
 		this.seeds = seeds(settings);
 		this.gossip = new Gossip(GossipSettings.defaults(), settings.instance(), settings.dataCentre(), this.ownAddress,
 				this.seeds, this, loop.timers(), random, audit);
-		this.reading = new SharedWatch(settings.instance(), settings.dataCentre(), this::sharingPeers,
+		this.watch = new SharedWatch(settings.instance(), settings.dataCentre(), this::sharingPeers,
 				(n) -> sendStoreUpdate(this.gossip.nearAddresses(), n), (n) -> sendStoreUpdate(
 						this.gossip.topOfOtherDataCentres(SharedWatch.RECEIVERS_PER_GROUP, SharedWatch::rank), n));
 		if (this.mechanisms.isEnabled(Mechanism.ENTRY_NEWS)) {
@@ -118,8 +118,8 @@
 	}
 
 	// Return the object that shares watches of the store within the data centre.
-	SharedWatch reading() {
-		return this.reading;
+	SharedWatch watch() {
+		return this.watch;
 	}
 
 	// Set the server and fetcher of snapshots.
@@ -182,13 +182,13 @@
 
 	// Set the source of shared back-pressure signals and the filter of listed
 	// incarnations.
-	void shareNeeds(TargetBackpressure shared, Predicate<TargetIncarnation> isListed) {
+	void shareSignals(TargetBackpressure shared, Predicate<TargetIncarnation> isListed) {
 		this.backpressure = Optional.of(shared);
 		this.listed = isListed;
 	}
 
 	// Announce the back-pressure signals of a target to all other entries at once.
-	void announceNeeds(TargetIncarnation target) {
+	void announceSignals(TargetIncarnation target) {
 		if (this.mechanisms.isEnabled(Mechanism.ENTRY_NEWS)) {
 			this.gossip.workChanged(target, UpdateScope.ALL, this.loop.now());
 		}
@@ -206,7 +206,7 @@
 
 	// Return the other entries' use of the retry budget; empty while no other entry is
 	// known.
-	Optional<RetryBudgetUsage> spending(String service, long windowMillis, long now) {
+	Optional<RetryBudgetUsage> budgetUsage(String service, long windowMillis, long now) {
 		return this.gossip.budgetUsageOfOthers(service, windowMillis, now);
 	}
 
@@ -273,12 +273,12 @@
 			.collect(Collectors.toSet());
 	}
 
-	private void storeUpdateReceived(String from, StoreUpdate update) {
+	private void handleStoreUpdate(String from, StoreUpdate update) {
 		if (update.kind() == StoreUpdate.Kind.REQUEST) {
-			this.reading.createAnswer(update).ifPresent((a) -> this.socket.send(List.of(socketAddress(from)), a));
+			this.watch.createAnswer(update).ifPresent((a) -> this.socket.send(List.of(socketAddress(from)), a));
 			return;
 		}
-		this.reading.recordUpdate(update, this.loop.now());
+		this.watch.recordUpdate(update, this.loop.now());
 		this.storeUpdateListener.accept(update);
 	}
 
@@ -312,7 +312,7 @@
 
 		@Override
 		public void storeUpdateReceived(String from, StoreUpdate update) {
-			PeerEntries.this.loop.run(() -> storeUpdateReceived(from, update));
+			PeerEntries.this.loop.run(() -> handleStoreUpdate(from, update));
 		}
 
 		@Override
