--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -186,7 +186,7 @@
 		DirectCalls calls = new DirectCalls(this.loop, http, adapter.headers(), adapter.engines(),
 				new CallTimes(this.metrics));
 		this.retries = new SharedRetryBudget(settings.retryWindowMillis(), settings.retryRatio(), settings.ownRetryExtra(1),
-				settings.retryExtra(), this::peerSpending);
+				settings.retryExtra(), this::peerBudgetUsage);
 		this.peers = new PeerEntries(settings, this.estimates, this.retries, this.loop, random, this.audit);
 		this.cold = new ColdTargets(settings.coldBound(), this.peers, this::coldPerSecond, this.audit);
 		this.suspects = new SuspectTracking(this.peers, this.loop, random, this.audit);
@@ -415,7 +415,7 @@
 		return this.peers.workAt(target);
 	}
 
-	private Optional<RetryBudgetUsage> peerSpending(String service, long windowMillis, long now) {
+	private Optional<RetryBudgetUsage> peerBudgetUsage(String service, long windowMillis, long now) {
 		return this.settings.mechanisms().isEnabled(Mechanism.SHARED_BUDGET) ? this.peers.budgetUsage(service, windowMillis, now)
 				: Optional.empty();
 	}
