--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -127,7 +127,7 @@
 
 	private final SnapshotTransfer snapshots;
 
-	private final EngineInquiry inquiry;
+	private final EngineDrainingQuery drainingQuery;
 
 	private final DirectServer callers;
 
@@ -211,7 +211,7 @@
 		members.use(this.dispatcher, this.store);
 		this.snapshots = new SnapshotTransfer(this.store.follower(), this.peers, this.loop, this.audit);
 		this.peers.useSnapshotTransfer(this.snapshots);
-		this.inquiry = new EngineInquiry(this.store, this.peers, this.estimates, adapter.engines(), this.loop,
+		this.drainingQuery = new EngineDrainingQuery(this.store, this.peers, this.estimates, adapter.engines(), this.loop,
 				this.audit);
 		this.peers.onStoreUpdate((n) -> this.store.follower().updateReceived(n, this.loop.now()));
 		this.resumeGate = new ResumeGate(this.store.follower()::ageMillis);
@@ -246,7 +246,7 @@
 		this.loop.run(() -> this.peers.start(this.loop.now()));
 		this.loop.run(() -> this.suspects.start(this.loop.now()));
 		if (this.settings.mechanisms().isEnabled(Mechanism.LEAVING_INQUIRY)) {
-			this.loop.run(() -> this.inquiry.start(this.loop.now()));
+			this.loop.run(() -> this.drainingQuery.start(this.loop.now()));
 		}
 		MonotonicClock.includeSuspensions();
 		if (!await(this.ended)) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineInquiry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineDrainingQuery.java
@@ -17,7 +17,7 @@
  * Poll of the engines for draining while the store is silent, whose results are announced
  * to the other entries. Used on the I/O thread alone.
  */
-final class EngineInquiry implements DrainingQueryOutputs {
+final class EngineDrainingQuery implements DrainingQueryOutputs {
 
 	private final StoreView store;
 
@@ -31,7 +31,7 @@
 
 	private final DrainingQuery query;
 
-	EngineInquiry(StoreView store, PeerEntries peers, TargetEstimates estimates, EngineCommands engines, EventLoop loop,
+	EngineDrainingQuery(StoreView store, PeerEntries peers, TargetEstimates estimates, EngineCommands engines, EventLoop loop,
 			AuditSink audit) {
 		this.store = store;
 		this.estimates = estimates;
