--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -88,7 +88,7 @@
 		this.secret = secret.clone();
 		this.times = times;
 		this.ready = ready;
-		this.reader = new RequestReader(secret, settings.patience());
+		this.reader = new RequestReader(secret, settings.callerTimeout());
 		this.server = Undertow.builder()
 			.setWorker(io.worker())
 			.setServerOption(UndertowOptions.MAX_HEADER_SIZE, settings.maxHeaderBytes())
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerSettings.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerSettings.java
@@ -19,12 +19,12 @@
  * @param idleTimeout the time limit of an idle connection between requests
  * @param stalledTimeout the time after which a caller that reads no output is
  * disconnected
- * @param patience the timeout for the first token of a request that names none
+ * @param callerTimeout the timeout for the first token of a request that names none
  * @since 0.1
  */
 public record CallerSettings(InetSocketAddress address, long maxBodyBytes, int maxHeaderBytes, int maxHeaders,
 		int maxConnections, int maxCalls, Duration requestTimeout, Duration idleTimeout, Duration stalledTimeout,
-		Duration patience) {
+		Duration callerTimeout) {
 
 	private static final Duration MIN_TIMEOUT = Duration.ofMillis(100);
 
