--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -45,7 +45,7 @@
 
 	static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
 
-	static final HttpString PATIENCE = new HttpString("Laneworks-Patience");
+	static final HttpString CALLER_TIMEOUT = new HttpString("Laneworks-Patience");
 
 	private static final String BEARER = "Bearer ";
 
@@ -59,15 +59,15 @@
 
 	private static final int MAX_KEY_LENGTH = 512;
 
-	private static final long MAX_PATIENCE_MILLIS = Duration.ofHours(1).toMillis();
+	private static final long MAX_CALLER_TIMEOUT_MILLIS = Duration.ofHours(1).toMillis();
 
 	private final byte[] secret;
 
-	private final Duration patience;
+	private final Duration callerTimeout;
 
-	RequestReader(byte[] secret, Duration patience) {
+	RequestReader(byte[] secret, Duration callerTimeout) {
 		this.secret = secret.clone();
-		this.patience = patience;
+		this.callerTimeout = callerTimeout;
 	}
 
 	Either<Refusal, AccountDescription> account(HttpServerExchange exchange, FleetConfiguration configuration) {
@@ -115,7 +115,7 @@
 		object.put("stream", true);
 		byte[] targetBody = object.toString().getBytes(StandardCharsets.UTF_8);
 		String path = (kind == OperationKind.CHAT) ? "/v1/chat/completions" : "/v1/completions";
-		return readIdempotency(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
+		return readIdempotency(exchange, account).flatMap((o) -> callerTimeout(exchange).map((p) -> {
 			boolean repeatable = o.key().isEmpty() && intent.get().repeatable();
 			SidecarRequest work = new SidecarRequest(createRequestId(), kind, account.name(), model, "POST", path, targetBody,
 					intent.get().priority(), repeatable, o.key(), Math.max(1, prompt.length() / CHARS_PER_TOKEN),
@@ -135,7 +135,7 @@
 		}
 		String method = exchange.getRequestMethod().toString();
 		String query = exchange.getQueryString().isEmpty() ? "" : '?' + exchange.getQueryString();
-		return readIdempotency(exchange, account).flatMap((o) -> patience(exchange).map((p) -> {
+		return readIdempotency(exchange, account).flatMap((o) -> callerTimeout(exchange).map((p) -> {
 			boolean repeatable = o.key().isEmpty() && service.get().isRepeatable(method, path);
 			SidecarRequest request = new SidecarRequest(createRequestId(), OperationKind.SERVICE, account.name(), name, method, path + query, body,
 					intent.get().priority(), repeatable, o.key(), 0, 1, p);
@@ -171,21 +171,21 @@
 		return Either.right(new Idempotency(Optional.of(ticketKey), Optional.of(ticket.get().target())));
 	}
 
-	private Either<Refusal, Long> patience(HttpServerExchange exchange) {
-		String headerValue = exchange.getRequestHeaders().getFirst(PATIENCE);
+	private Either<Refusal, Long> callerTimeout(HttpServerExchange exchange) {
+		String headerValue = exchange.getRequestHeaders().getFirst(CALLER_TIMEOUT);
 		if (headerValue == null) {
-			return Either.right(this.patience.toMillis());
+			return Either.right(this.callerTimeout.toMillis());
 		}
 		try {
 			long millis = Long.parseLong(headerValue.strip());
-			if (millis >= 1 && millis <= MAX_PATIENCE_MILLIS) {
+			if (millis >= 1 && millis <= MAX_CALLER_TIMEOUT_MILLIS) {
 				return Either.right(millis);
 			}
 		}
 		catch (NumberFormatException ex) {
 			// Rejected below, like a number out of range.
 		}
-		return badRequest("the Laneworks-Patience header must be milliseconds from 1 to " + MAX_PATIENCE_MILLIS);
+		return badRequest("the Laneworks-Patience header must be milliseconds from 1 to " + MAX_CALLER_TIMEOUT_MILLIS);
 	}
 
 	private static <T> Either<Refusal, T> badRequest(String detail) {
