--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerPresence.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerDisconnectDetector.java
@@ -15,7 +15,7 @@
  * its response and therefore does not detect its closing. This class polls the connection
  * and returns the bytes of a pipelined request to it.
  */
-public final class CallerPresence {
+public final class CallerDisconnectDetector {
 
 	private static final long POLL_INTERVAL_MILLIS = 250;
 
@@ -23,12 +23,12 @@
 
 	private final Runnable onDisconnect;
 
-	public CallerPresence(HttpServerExchange exchange, Runnable onDisconnect) {
+	public CallerDisconnectDetector(HttpServerExchange exchange, Runnable onDisconnect) {
 		this.exchange = exchange;
 		this.onDisconnect = onDisconnect;
 	}
 
-	public void watch() {
+	public void start() {
 		this.exchange.getIoThread().executeAfter(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
@@ -50,7 +50,7 @@
 			IoUtils.safeClose(connection);
 			return;
 		}
-		watch();
+		start();
 	}
 
 	private static int read(HttpServerConnection connection, PooledByteBuffer pooled) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -255,7 +255,7 @@
 	}
 
 	private void trackResponse(HttpServerExchange exchange, long call) {
-		new CallerPresence(exchange, () -> this.calls.recordDisconnect(call)).watch();
+		new CallerDisconnectDetector(exchange, () -> this.calls.recordDisconnect(call)).start();
 		AtomicBoolean open = new AtomicBoolean(true);
 		this.openResponses.incrementAndGet();
 		exchange.addExchangeCompleteListener((e, next) -> {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
@@ -20,7 +20,7 @@
 import dev.laneworks.core.serving.ServingPlan;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.core.verdict.RefusalReason;
-import dev.laneworks.entry.caller.CallerPresence;
+import dev.laneworks.entry.caller.CallerDisconnectDetector;
 import dev.laneworks.runtime.http.HttpHeader;
 import dev.laneworks.runtime.http.IoWorker;
 import io.undertow.Undertow;
@@ -260,7 +260,7 @@
 			next.proceed();
 		});
 		long call = this.calls.open(request, direct);
-		new CallerPresence(request.exchange(), () -> this.calls.callerLeft(call)).watch();
+		new CallerDisconnectDetector(request.exchange(), () -> this.calls.callerLeft(call)).start();
 		this.loop.runTimers();
 	}
 
