--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/BufferedResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/BufferedResponse.java
@@ -59,7 +59,7 @@
 	@Override
 	public void refuse(Refusal refusal) {
 		this.stopwatch.end();
-		CallerProblem.send(this.exchange, refusal);
+		ProblemResponse.send(this.exchange, refusal);
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -134,7 +134,7 @@
 			.addExactPath("/v1/tickets", allowOnly("POST", this::ticket))
 			.addExactPath("/v1/models", allowOnly("GET", this::models))
 			.addPrefixPath(SERVICES_PREFIX, this::service)
-			.addPrefixPath("/", (e) -> CallerProblem.send(e, notFound()));
+			.addPrefixPath("/", (e) -> ProblemResponse.send(e, notFound()));
 	}
 
 	private void readyz(HttpServerExchange exchange) {
@@ -151,7 +151,7 @@
 		withAccount(exchange, (c, a) -> withBody(exchange, (body) -> {
 			var request = this.reader.generation(exchange, body, kind, a, c);
 			if (request.isLeft()) {
-				CallerProblem.send(exchange, request.getLeft());
+				ProblemResponse.send(exchange, request.getLeft());
 				return;
 			}
 			open(exchange, request.get());
@@ -178,7 +178,7 @@
 			Optional<StreamPosition> position = (id != null) ? new TokenSigner(this.secret).verifyPosition(id)
 					: Optional.empty();
 			if (position.isEmpty() || !position.get().account().equals(a.name())) {
-				CallerProblem.send(exchange, Refusal.permanent(RefusalReason.BAD_REQUEST,
+				ProblemResponse.send(exchange, Refusal.permanent(RefusalReason.BAD_REQUEST,
 						"the Last-Event-ID header must be the id of an event that this account received"));
 				return;
 			}
@@ -203,7 +203,7 @@
 		withAccount(exchange, (c, a) -> withBody(exchange, (body) -> {
 			Either<Refusal, CallRequest> request = this.reader.service(exchange, body, name, path, a, c);
 			if (request.isLeft()) {
-				CallerProblem.send(exchange, request.getLeft());
+				ProblemResponse.send(exchange, request.getLeft());
 				return;
 			}
 			exchange.getResponseHeaders().put(ResponseHeaders.REQUEST, request.get().work().requestId());
@@ -217,13 +217,13 @@
 		withAccount(exchange, (c, a) -> withBody(exchange, (body) -> {
 			String model = readModel(body);
 			if (c.intent(a.name(), model).isEmpty()) {
-				CallerProblem.send(exchange, Refusal.permanent(RefusalReason.UNKNOWN_MODEL,
+				ProblemResponse.send(exchange, Refusal.permanent(RefusalReason.UNKNOWN_MODEL,
 						"the account may use no model or service named '" + model + "'"));
 				return;
 			}
 			Optional<RequestTicket> ticket = this.calls.createTicket(a.name(), model);
 			if (ticket.isEmpty()) {
-				CallerProblem.send(exchange, Refusal.notRun(RefusalReason.NO_TARGET,
+				ProblemResponse.send(exchange, Refusal.notRun(RefusalReason.NO_TARGET,
 						"no target is available as the home of a ticket", RETRY_DELAY));
 				return;
 			}
@@ -280,7 +280,7 @@
 
 	private static void rejectIfFull(HttpServerExchange exchange, boolean accepted) {
 		if (!accepted) {
-			CallerProblem.send(exchange, Refusal.notRun(RefusalReason.OVERLOADED,
+			ProblemResponse.send(exchange, Refusal.notRun(RefusalReason.OVERLOADED,
 					"this entry has reached its limit of open calls", RETRY_DELAY));
 		}
 	}
@@ -288,13 +288,13 @@
 	private void withAccount(HttpServerExchange exchange, AccountAction action) {
 		Optional<FleetConfiguration> configuration = this.calls.configuration();
 		if (configuration.isEmpty()) {
-			CallerProblem.send(exchange,
+			ProblemResponse.send(exchange,
 					Refusal.notRun(RefusalReason.NOT_READY, "this entry has no configuration yet", RETRY_DELAY));
 			return;
 		}
 		Either<Refusal, AccountDescription> account = this.reader.account(exchange, configuration.get());
 		if (account.isLeft()) {
-			CallerProblem.send(exchange, account.getLeft());
+			ProblemResponse.send(exchange, account.getLeft());
 			return;
 		}
 		action.accept(configuration.get(), account.get());
@@ -303,7 +303,7 @@
 	private void withBody(HttpServerExchange exchange, BodyAction action) {
 		if (exchange.getRequestContentLength() > this.settings.maxBodyBytes()) {
 			exchange.setPersistent(false);
-			CallerProblem.send(exchange, tooLarge());
+			ProblemResponse.send(exchange, tooLarge());
 			return;
 		}
 		exchange.setMaxEntitySize(this.settings.maxBodyBytes());
@@ -316,7 +316,7 @@
 		exchange.getRequestReceiver().receiveFullBytes((e, body) -> {
 			e.dispatch();
 			action.accept(body);
-		}, (e, ex) -> CallerProblem.send(e, (ex instanceof RequestTooBigException) ? tooLarge()
+		}, (e, ex) -> ProblemResponse.send(e, (ex instanceof RequestTooBigException) ? tooLarge()
 				: Refusal.permanent(RefusalReason.BAD_REQUEST, "the body cannot be read: " + ex.getMessage())));
 	}
 
@@ -328,10 +328,10 @@
 			}
 			e.getResponseHeaders().put(Headers.ALLOW, method);
 			e.setStatusCode(StatusCodes.METHOD_NOT_ALLOWED);
-			e.getResponseHeaders().put(Headers.CONTENT_TYPE, CallerProblem.CONTENT_TYPE);
+			e.getResponseHeaders().put(Headers.CONTENT_TYPE, ProblemResponse.CONTENT_TYPE);
 			Refusal refusal = Refusal.permanent(RefusalReason.BAD_REQUEST, "only " + method + " is allowed here");
 			e.getResponseSender()
-				.send(CallerProblem.json(refusal).put("status", StatusCodes.METHOD_NOT_ALLOWED).toString());
+				.send(ProblemResponse.json(refusal).put("status", StatusCodes.METHOD_NOT_ALLOWED).toString());
 		};
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerProblem.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/ProblemResponse.java
@@ -12,7 +12,7 @@
  * Writes refusals as problem documents (RFC 9457) that carry the verdict and, if a retry
  * is useful, the time to wait before it.
  */
-public final class CallerProblem {
+public final class ProblemResponse {
 
 	static final String CONTENT_TYPE = "application/problem+json";
 
@@ -20,7 +20,7 @@
 
 	private static final long MILLIS_PER_SECOND = 1000;
 
-	private CallerProblem() {
+	private ProblemResponse() {
 	}
 
 	/**
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/ServiceResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/ServiceResponse.java
@@ -36,7 +36,7 @@
 	@Override
 	public void finish(long total, FinishReason reason) {
 		if (this.reply == null) {
-			CallerProblem.send(this.exchange,
+			ProblemResponse.send(this.exchange,
 					Refusal.ranInPart(RefusalReason.TARGET_LOST, "the service returned no response"));
 			return;
 		}
@@ -49,7 +49,7 @@
 
 	@Override
 	public void refuse(Refusal refusal) {
-		CallerProblem.send(this.exchange, refusal);
+		ProblemResponse.send(this.exchange, refusal);
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/StreamedResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/StreamedResponse.java
@@ -110,10 +110,10 @@
 		this.stopwatch.end();
 		setEnded();
 		if (!isOpening()) {
-			CallerProblem.send(this.exchange, refusal);
+			ProblemResponse.send(this.exchange, refusal);
 			return;
 		}
-		String event = "{\"error\":" + CallerProblem.json(refusal) + '}';
+		String event = "{\"error\":" + ProblemResponse.json(refusal) + '}';
 		emit((s) -> {
 			s.send(event);
 			s.end();
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/CallerRequest.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/CallerRequest.java
@@ -11,7 +11,7 @@
 import dev.laneworks.core.poison.RequestDigest;
 import dev.laneworks.core.verdict.Refusal;
 import dev.laneworks.entry.caller.CallTimes;
-import dev.laneworks.entry.caller.CallerProblem;
+import dev.laneworks.entry.caller.ProblemResponse;
 import dev.laneworks.runtime.http.HttpHeader;
 import dev.laneworks.runtime.http.HttpResponseHead;
 import io.undertow.server.HttpServerExchange;
@@ -136,7 +136,7 @@
 			return;
 		}
 		extraHeaders.forEach((h) -> this.exchange.getResponseHeaders().put(new HttpString(h.name()), h.value()));
-		CallerProblem.send(this.exchange, refusal);
+		ProblemResponse.send(this.exchange, refusal);
 	}
 
 	private boolean isAnsweredOrClosed() {
