--- a/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/Entry.java
@@ -21,7 +21,7 @@
 import dev.laneworks.core.routing.TargetState;
 import dev.laneworks.core.routing.TargetStates;
 import dev.laneworks.core.routing.TargetSubset;
-import dev.laneworks.entry.caller.CallTimes;
+import dev.laneworks.entry.caller.CallLatencyMetrics;
 import dev.laneworks.entry.caller.CallerServer;
 import dev.laneworks.runtime.duty.Duty;
 import dev.laneworks.runtime.log.LogLine;
@@ -97,7 +97,7 @@
 		this.duty = new Duty<>("calls", createState(eventLoops.next()), RING_CAPACITY, TICK_INTERVAL, this::tick);
 		this.context.supervisor().start(this.duty);
 		this.callerServer = new CallerServer(this.context.io(), this.settings.callers(), this.calls,
-				this.settings.secret(), new CallTimes(this.context.metrics()), this::isReady);
+				this.settings.secret(), new CallLatencyMetrics(this.context.metrics()), this::isReady);
 		OperatorServer operators = new OperatorServer(this.context.io().worker(),
 				this.settings.common().operatorAddress(), this.context.metrics(), this.context.audit(), this::isReady,
 				() -> ProcessContext.query(this.duty, this::status), Handlers.routing());
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/BufferedResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/BufferedResponse.java
@@ -21,13 +21,13 @@
 
 	private final int promptTokens;
 
-	private final CallTimes.Stopwatch stopwatch;
+	private final CallLatencyMetrics.Stopwatch stopwatch;
 
 	private final Consumer<Long> onConsumed;
 
 	private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
-	BufferedResponse(HttpServerExchange exchange, CompletionJson json, int promptTokens, CallTimes.Stopwatch stopwatch,
+	BufferedResponse(HttpServerExchange exchange, CompletionJson json, int promptTokens, CallLatencyMetrics.Stopwatch stopwatch,
 			Consumer<Long> onConsumed) {
 		this.exchange = exchange;
 		this.json = json;
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallTimes.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallLatencyMetrics.java
@@ -11,7 +11,7 @@
  *
  * @since 0.1
  */
-public final class CallTimes {
+public final class CallLatencyMetrics {
 
 	/** A longer gap between tokens counts as a stall. */
 	private static final long STALL_MICROS = 250_000;
@@ -26,7 +26,7 @@
 	 * Register the histograms, in microseconds.
 	 * @param metrics the registry of the process
 	 */
-	public CallTimes(MetricRegistry metrics) {
+	public CallLatencyMetrics(MetricRegistry metrics) {
 		this.firstToken = metrics.histogram("laneworks_first_token_micros");
 		this.betweenTokens = metrics.histogram("laneworks_between_tokens_micros");
 		this.stallTime = metrics.histogram("laneworks_stall_micros");
@@ -60,10 +60,10 @@
 			this.lastNanos = now;
 			if (this.awaitingFirstToken) {
 				this.awaitingFirstToken = false;
-				CallTimes.this.firstToken.update(micros);
+				CallLatencyMetrics.this.firstToken.update(micros);
 				return;
 			}
-			CallTimes.this.betweenTokens.update(micros);
+			CallLatencyMetrics.this.betweenTokens.update(micros);
 			if (micros > STALL_MICROS) {
 				this.stalledMicros += micros;
 			}
@@ -74,7 +74,7 @@
 		 */
 		public void end() {
 			if (!this.awaitingFirstToken) {
-				CallTimes.this.stallTime.update(this.stalledMicros);
+				CallLatencyMetrics.this.stallTime.update(this.stalledMicros);
 			}
 		}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallerServer.java
@@ -62,7 +62,7 @@
 
 	private final byte[] secret;
 
-	private final CallTimes times;
+	private final CallLatencyMetrics times;
 
 	private final BooleanSupplier ready;
 
@@ -81,7 +81,7 @@
 	 * @param times the latency histograms
 	 * @param ready whether the readiness check succeeds
 	 */
-	public CallerServer(IoWorker io, CallerSettings settings, CallPort calls, byte[] secret, CallTimes times,
+	public CallerServer(IoWorker io, CallerSettings settings, CallPort calls, byte[] secret, CallLatencyMetrics times,
 			BooleanSupplier ready) {
 		this.settings = settings;
 		this.calls = calls;
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/StreamedResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/StreamedResponse.java
@@ -35,7 +35,7 @@
 
 	private final TokenSigner signer;
 
-	private final CallTimes.Stopwatch stopwatch;
+	private final CallLatencyMetrics.Stopwatch stopwatch;
 
 	private final long stalledTimeoutMillis;
 
@@ -68,7 +68,7 @@
 	private volatile boolean ended;
 
 	StreamedResponse(HttpServerExchange exchange, CompletionJson json, TokenSigner signer,
-			CallTimes.Stopwatch stopwatch, Duration stalledTimeout, Consumer<Long> onConsumed, Runnable onDisconnect) {
+			CallLatencyMetrics.Stopwatch stopwatch, Duration stalledTimeout, Consumer<Long> onConsumed, Runnable onDisconnect) {
 		this.exchange = exchange;
 		this.json = json;
 		this.signer = signer;
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/CallerRequest.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/CallerRequest.java
@@ -10,7 +10,7 @@
 
 import dev.laneworks.core.poison.RequestDigest;
 import dev.laneworks.core.verdict.Refusal;
-import dev.laneworks.entry.caller.CallTimes;
+import dev.laneworks.entry.caller.CallLatencyMetrics;
 import dev.laneworks.entry.caller.ProblemResponse;
 import dev.laneworks.runtime.http.HttpHeader;
 import dev.laneworks.runtime.http.HttpResponseHead;
@@ -41,7 +41,7 @@
 
 	private Optional<StreamWriter> stream = Optional.empty();
 
-	private Optional<CallTimes.Stopwatch> stopwatch = Optional.empty();
+	private Optional<CallLatencyMetrics.Stopwatch> stopwatch = Optional.empty();
 
 	CallerRequest(HttpServerExchange exchange) {
 		this.exchange = exchange;
@@ -91,12 +91,12 @@
 		return RequestDigest.of(account, this.exchange.getHostName(), this.uri, this.body);
 	}
 
-	void measure(CallTimes.Stopwatch started) {
+	void measure(CallLatencyMetrics.Stopwatch started) {
 		this.stopwatch = Optional.of(started);
 	}
 
 	void deliver(TargetAnswer answer) {
-		this.stopwatch.ifPresent(CallTimes.Stopwatch::token);
+		this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::token);
 		if (isAnsweredOrClosed()) {
 			return;
 		}
@@ -117,13 +117,13 @@
 
 	void relay(byte[] data) {
 		if (data.length > 0) {
-			this.stopwatch.ifPresent(CallTimes.Stopwatch::token);
+			this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::token);
 			this.stream.ifPresent((s) -> s.write(data));
 		}
 	}
 
 	void endStream() {
-		this.stopwatch.ifPresent(CallTimes.Stopwatch::end);
+		this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::end);
 		this.stream.ifPresent(StreamWriter::end);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectCalls.java
@@ -12,7 +12,7 @@
 import dev.laneworks.core.dispatch.Dispatcher;
 import dev.laneworks.core.dispatch.SendParameters;
 import dev.laneworks.core.verdict.Refusal;
-import dev.laneworks.entry.caller.CallTimes;
+import dev.laneworks.entry.caller.CallLatencyMetrics;
 import dev.laneworks.runtime.http.AsyncHttpClient;
 
 /**
@@ -29,7 +29,7 @@
 
 	private final EngineCommands engines;
 
-	private final CallTimes times;
+	private final CallLatencyMetrics times;
 
 	private final Map<Long, OpenCall> open = new HashMap<>();
 
@@ -37,7 +37,7 @@
 
 	private long lastCallNumber;
 
-	DirectCalls(EventLoop loop, AsyncHttpClient http, HeaderTranslator translator, EngineCommands engines, CallTimes times) {
+	DirectCalls(EventLoop loop, AsyncHttpClient http, HeaderTranslator translator, EngineCommands engines, CallLatencyMetrics times) {
 		this.times = times;
 		this.loop = loop;
 		this.http = http;
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -33,7 +33,7 @@
 import dev.laneworks.core.serving.ServiceSpec;
 import dev.laneworks.core.serving.ServingPlan;
 import dev.laneworks.core.time.Timers;
-import dev.laneworks.entry.caller.CallTimes;
+import dev.laneworks.entry.caller.CallLatencyMetrics;
 import dev.laneworks.runtime.audit.AuditTrail;
 import dev.laneworks.runtime.http.AsyncHttpClient;
 import dev.laneworks.runtime.http.DefaultBackgroundExecutor;
@@ -184,7 +184,7 @@
 		AsyncHttpClient http = new AsyncHttpClient(this.io.worker(), this.io.buffers());
 		PlatformAdapter adapter = platform.create(settings, http, thread);
 		DirectCalls calls = new DirectCalls(this.loop, http, adapter.headers(), adapter.engines(),
-				new CallTimes(this.metrics));
+				new CallLatencyMetrics(this.metrics));
 		this.retries = new SharedRetryBudget(settings.retryWindowMillis(), settings.retryRatio(), settings.ownRetryExtra(1),
 				settings.retryExtra(), this::peerBudgetUsage);
 		this.peers = new PeerEntries(settings, this.estimates, this.retries, this.loop, random, this.audit);
