--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/BufferedResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/BufferedResponse.java
@@ -43,14 +43,14 @@
 
 	@Override
 	public void deliver(long offset, byte[] data) {
-		this.stopwatch.token();
+		this.stopwatch.recordToken();
 		this.output.writeBytes(data);
 		this.onConsumed.accept(offset + 1);
 	}
 
 	@Override
 	public void finish(long total, FinishReason reason) {
-		this.stopwatch.end();
+		this.stopwatch.recordEnd();
 		this.exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
 		this.exchange.getResponseSender()
 			.send(this.json.whole(this.output.toString(StandardCharsets.UTF_8), total, this.promptTokens, reason));
@@ -58,7 +58,7 @@
 
 	@Override
 	public void refuse(Refusal refusal) {
-		this.stopwatch.end();
+		this.stopwatch.recordEnd();
 		ProblemResponse.send(this.exchange, refusal);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallLatencyMetrics.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/CallLatencyMetrics.java
@@ -54,7 +54,7 @@
 		/**
 		 * Record the delivery of a chunk of output.
 		 */
-		public void token() {
+		public void recordToken() {
 			long now = System.nanoTime();
 			long micros = TimeUnit.NANOSECONDS.toMicros(now - this.lastNanos);
 			this.lastNanos = now;
@@ -72,7 +72,7 @@
 		/**
 		 * Record the end of the call.
 		 */
-		public void end() {
+		public void recordEnd() {
 			if (!this.awaitingFirstToken) {
 				CallLatencyMetrics.this.stallTime.update(this.stalledMicros);
 			}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/StreamedResponse.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/StreamedResponse.java
@@ -86,7 +86,7 @@
 
 	@Override
 	public void deliver(long offset, byte[] data) {
-		this.stopwatch.token();
+		this.stopwatch.recordToken();
 		String event = this.json.chunk(offset, data);
 		String id = this.signer.signPosition(new StreamPosition(this.start.target(), this.start.incarnation(),
 				this.start.generation(), this.start.account(), offset + 1));
@@ -96,7 +96,7 @@
 
 	@Override
 	public void finish(long total, FinishReason reason) {
-		this.stopwatch.end();
+		this.stopwatch.recordEnd();
 		emit((s) -> {
 			s.send(this.json.last(total, reason));
 			s.send(DONE);
@@ -107,7 +107,7 @@
 
 	@Override
 	public void refuse(Refusal refusal) {
-		this.stopwatch.end();
+		this.stopwatch.recordEnd();
 		setEnded();
 		if (!isOpening()) {
 			ProblemResponse.send(this.exchange, refusal);
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/CallerRequest.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/CallerRequest.java
@@ -96,7 +96,7 @@
 	}
 
 	void deliver(TargetAnswer answer) {
-		this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::token);
+		this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::recordToken);
 		if (isAnsweredOrClosed()) {
 			return;
 		}
@@ -117,13 +117,13 @@
 
 	void relay(byte[] data) {
 		if (data.length > 0) {
-			this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::token);
+			this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::recordToken);
 			this.stream.ifPresent((s) -> s.write(data));
 		}
 	}
 
 	void endStream() {
-		this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::end);
+		this.stopwatch.ifPresent(CallLatencyMetrics.Stopwatch::recordEnd);
 		this.stream.ifPresent(StreamWriter::end);
 	}
 
