--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeEntry.java
@@ -33,7 +33,7 @@
 
 	private static final CallSettings SETTINGS = new CallSettings(500, 500, 1_000, 3_000, 3, 8);
 
-	private static final long PEERS_SUFFICE_MILLIS = 3_000;
+	private static final long PEER_CONFIRMATION_MAX_AGE_MILLIS = 3_000;
 
 	private static final long CALLER_READ_DELAY_MILLIS = 2;
 
@@ -70,7 +70,7 @@
 				new Backoff(Duration.ofMillis(20), Duration.ofMillis(200), random), this, (e) -> {
 				});
 		ConfigurationKeeper keeper = new ConfigurationKeeper(new ConfigurationHolder(), configurationService,
-				new Backoff(Duration.ofMillis(50), Duration.ofSeconds(1), random), PEERS_SUFFICE_MILLIS,
+				new Backoff(Duration.ofMillis(50), Duration.ofSeconds(1), random), PEER_CONFIRMATION_MAX_AGE_MILLIS,
 				(t) -> run(() -> t.accept(time.now())), this::applyConfiguration, (e) -> {
 				});
 		keeper.setWatcher(false);
