--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeSidecar.java
@@ -31,7 +31,7 @@
 
 	private static final long ENGINE_DELAY_MILLIS = 3;
 
-	private static final long PEERS_SUFFICE_MILLIS = 3_000;
+	private static final long PEER_CONFIRMATION_MAX_AGE_MILLIS = 3_000;
 
 	private static final HostSettings SETTINGS = new HostSettings(4, 8, 0, 0.97, 2, 20_000, 4_000, 6_000, 3_000, 1_000,
 			3_000, 64);
@@ -77,7 +77,7 @@
 				}, time.now());
 		Backoff backoff = new Backoff(Duration.ofMillis(50), Duration.ofSeconds(1), random);
 		ConfigurationKeeper keeper = new ConfigurationKeeper(holder, configurationService, backoff,
-				PEERS_SUFFICE_MILLIS, (t) -> run(() -> t.accept(time.now())), this::applyConfiguration, (e) -> {
+				PEER_CONFIRMATION_MAX_AGE_MILLIS, (t) -> run(() -> t.accept(time.now())), this::applyConfiguration, (e) -> {
 				});
 		keeper.setWatcher(index == 0);
 		this.exchange = new ConfigurationExchange(keeper, (m) -> this.links.values().forEach((l) -> send(l, m)), false);
