--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -52,27 +52,27 @@
 	@Test
 	void nextUpdateOfAPeerReplacesItsWork() {
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t"))).isEqualTo(Optional.empty());
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
-		this.gossip.handleUpdate("10.0.0.3:7200", news("three", 3, 1, work(1, 100)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(3, 900)), 0);
+		this.gossip.handleUpdate("10.0.0.3:7200", update("three", 3, 1, work(1, 100)), 0);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(1_000);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, work(1, 50)), 10);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 2, work(1, 50)), 10);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(150);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("unknown")).get().requests()).isEqualTo(0);
 	}
 
 	@Test
 	void ignoresLateUpdateOfTheSameIncarnationOnly() {
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 7, work(1, 700)), 0);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 6, work(1, 600)), 1);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 7, work(1, 700)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 6, work(1, 600)), 1);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(700);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 99, 1, work(0, 0)), 2);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 99, 1, work(0, 0)), 2);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(0);
 	}
 
 	@Test
 	void silentPeerIsRemovedWithItsWork() {
 		this.gossip.start(0);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(1, 700)), 0);
 		this.timers.run(3_000);
 		assertThat(this.gossip.peerCount()).isEqualTo(1);
 		this.timers.run(4_000);
@@ -82,7 +82,7 @@
 
 	@Test
 	void peerThatShutsDownIsRemovedAtOnce() {
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 700)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(1, 700)), 0);
 		this.gossip.handleUpdate("10.0.0.2:7200",
 				new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(), List.of(), BackpressureUpdate.NONE, List.of()),
 				5);
@@ -99,7 +99,7 @@
 
 	@Test
 	void batchesChangesUnlessOthersWaitForThem() {
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(1, 1)), 100);
 		this.receivers.clear();
 		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.NEAR, 110);
 		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.NEAR, 112);
@@ -146,31 +146,31 @@
 	@Test
 	void entriesMoveInRankOrderAndWaitForACopyInProgress() {
 		String target = targetRanking("two", "me");
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, false)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, moving(target, 1, false)), 0);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 100, 100)).isFalse();
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 0, false)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 2, moving(target, 0, false)), 0);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 5, 5)).isFalse();
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 20, 20)).isTrue();
 		String mine = targetRanking("me", "two");
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, moving(mine, 2, false)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 3, moving(mine, 2, false)), 0);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(mine), 0, 0)).isTrue();
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 4, moving(mine, 2, true)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 4, moving(mine, 2, true)), 0);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(mine), 100, 100)).isFalse();
 	}
 
 	@Test
 	void silentPeerLosesItsTurn() {
 		String target = targetRanking("two", "me");
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 2, true)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, moving(target, 2, true)), 0);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 200, 200)).isFalse();
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 201, 201)).isTrue();
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 2, true)), 210);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 2, moving(target, 2, true)), 210);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 211, 211)).isFalse();
 	}
 
 	@Test
 	void sendsFrequentUpdatesWhileMoving() {
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(1, 1)), 0);
 		this.ownWork = List.of(moving("t", 1, true));
 		this.gossip.workChanged(TargetIncarnation.of("t"), UpdateScope.INVOLVED, 100);
 		this.timers.run(100);
@@ -187,19 +187,19 @@
 	@Test
 	void peerWithALongCopyLosesItsTurn() {
 		String target = "t";
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, moving(target, 1, true)), 0);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, moving(target, 1, true)), 400);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, moving(target, 1, true)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 2, moving(target, 1, true)), 400);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 500, 500)).isFalse();
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, moving(target, 1, true)), 490);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 3, moving(target, 1, true)), 490);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 501, 501)).isTrue();
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 4, moving(target, 0, false)), 510);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 5, moving(target, 1, true)), 520);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 4, moving(target, 0, false)), 510);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 5, moving(target, 1, true)), 520);
 		assertThat(this.gossip.mayStartMove(TargetIncarnation.of(target), 530, 530)).isFalse();
 	}
 
 	@Test
 	void nearPeersReceiveChangesAtOnceAndDistantOnesByHeartbeat() {
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(0, 0)), 0);
 		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3), 0);
 		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.gossip.start(0);
@@ -219,8 +219,8 @@
 	@Test
 	void passesOnThatAPeerReportsADrainingTarget() {
 		this.gossip.handleUpdate("10.0.0.2:7200",
-				news("two", 2, 1, new WorkAtTarget(TargetIncarnation.of("t"), 0, 0, 0, 0, false, 0, true)), 0);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 2, work(1, 1)), 1);
+				update("two", 2, 1, new WorkAtTarget(TargetIncarnation.of("t"), 0, 0, 0, 0, false, 0, true)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 2, work(1, 1)), 1);
 		assertThat(this.draining).containsExactly("t");
 	}
 
@@ -228,7 +228,7 @@
 	void workIsKeptSeparateForEachTargetIncarnation() {
 		TargetIncarnation former = TargetIncarnation.of("t", 1_000);
 		WorkAtTarget work = new WorkAtTarget(former, 3, 70, 10, 1, true, 2, true);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work), 0);
 		assertThat(this.gossip.workOfOthers(former)).isEqualTo(Optional.of(work));
 		TargetIncarnation started = TargetIncarnation.of("t", 900);
 		assertThat(this.gossip.workOfOthers(started)).isEqualTo(Optional.of(WorkAtTarget.none(started)));
@@ -242,7 +242,7 @@
 		assertThat(this.gossip.isProber("z", rank, 0)).isTrue();
 		this.gossip.handleUpdate("10.0.0.3:7200", distant("two", 2), 0);
 		assertThat(this.gossip.isProber("z", rank, 0)).isTrue();
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 3, 1, work(1, 1)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 3, 1, work(1, 1)), 0);
 		assertThat(this.gossip.isProber("z", rank, 1_200)).isFalse();
 		assertThat(this.gossip.isProber("z", rank, 1_201)).isTrue();
 	}
@@ -251,7 +251,7 @@
 	void firstEntryOfAllProbesADataCentreWithoutEntries() {
 		ToLongBiFunction<String, String> rank = (d, i) -> (i.equals("two") == d.equals("far")) ? 2 : 1;
 		assertThat(this.gossip.isProber("far", rank, 0)).isTrue();
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(1, 1)), 0);
 		assertThat(this.gossip.isProber("far", rank, 0)).isFalse();
 		assertThat(this.gossip.isProber("elsewhere", rank, 0)).isTrue();
 		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3), 0);
@@ -282,7 +282,7 @@
 
 	@Test
 	void changeForAllReachesAllPeers() {
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(0, 0)), 0);
 		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3), 0);
 		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.receivers.clear();
@@ -298,7 +298,7 @@
 
 	@Test
 	void moveReachesPeersWithWorkAtTheTarget() {
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(0, 0)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(0, 0)), 0);
 		this.gossip.handleUpdate("10.0.0.3:7200", distant("three", 3, work(1, 1)), 0);
 		this.gossip.handleUpdate("10.0.0.4:7200", distant("four", 4), 0);
 		this.receivers.clear();
@@ -309,14 +309,14 @@
 
 	@Test
 	void partialUpdateChangesOnlyTheTargetsThatItNames() {
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(3, 900)), 0);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(3, 900)), 0);
 		LoadUpdate partial = new LoadUpdate("two", "z", 2, 2, false, true, 1_000,
 				List.of(new WorkAtTarget(TargetIncarnation.of("u"), 1, 70, 0, 0, false, 0, false)), List.of(), BackpressureUpdate.NONE,
 				List.of());
 		this.gossip.handleUpdate("10.0.0.2:7200", partial, 10);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(900);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("u")).get().reservedTokens()).isEqualTo(70);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 3, work(1, 40)), 20);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 3, work(1, 40)), 20);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("t")).get().reservedTokens()).isEqualTo(40);
 		assertThat(this.gossip.workOfOthers(TargetIncarnation.of("u")).get().reservedTokens()).isEqualTo(0);
 	}
@@ -334,7 +334,7 @@
 	@Test
 	void sendsNoUpdateAfterShutdown() {
 		this.gossip.start(0);
-		this.gossip.handleUpdate("10.0.0.2:7200", news("two", 2, 1, work(1, 1)), 100);
+		this.gossip.handleUpdate("10.0.0.2:7200", update("two", 2, 1, work(1, 1)), 100);
 		this.gossip.shutDown(200);
 		assertThat(this.lastUpdate.shuttingDown()).isTrue();
 		this.receivers.clear();
@@ -360,7 +360,7 @@
 		return new WorkAtTarget(TargetIncarnation.of(target), 1, 1, 0, toMove, copying, 0, false);
 	}
 
-	private static LoadUpdate news(String name, long incarnation, long sequence, WorkAtTarget work) {
+	private static LoadUpdate update(String name, long incarnation, long sequence, WorkAtTarget work) {
 		return new LoadUpdate(name, "z", incarnation, sequence, false, false, 1_000, List.of(work), List.of(),
 				BackpressureUpdate.NONE, List.of());
 	}
@@ -384,8 +384,8 @@
 		}
 
 		@Override
-		public void signalsReceived(BackpressureUpdate news) {
-			GossipTests.this.receivedSignals.add(news);
+		public void signalsReceived(BackpressureUpdate update) {
+			GossipTests.this.receivedSignals.add(update);
 		}
 
 		@Override
