--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/HttpExchangeTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/HttpExchangeTests.java
@@ -37,7 +37,7 @@
 	}
 
 	private HttpExchange call() {
-		return this.caller.send(get(), new ResponseCollector(100, (r) -> {
+		return this.httpClient.send(get(), new ResponseCollector(100, (r) -> {
 		}));
 	}
 
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/LoopbackTestSupport.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/LoopbackTestSupport.java
@@ -16,7 +16,7 @@
 
 	final IoWorker io = IoWorker.start(1, 1);
 
-	final AsyncHttpClient caller = new AsyncHttpClient(this.io.worker(), this.io.buffers());
+	final AsyncHttpClient httpClient = new AsyncHttpClient(this.io.worker(), this.io.buffers());
 
 	ServerSocket server;
 
--- a/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/TimedHttpClientTests.java
+++ b/laneworks-runtime/src/test/java/dev/laneworks/runtime/http/TimedHttpClientTests.java
@@ -21,7 +21,7 @@
 
 	private final BlockingQueue<Either<IOException, ResponseCollector.Response>> answers = new ArrayBlockingQueue<>(10);
 
-	private final TimedHttpClient client = new TimedHttpClient(this.caller, this.io.worker().getIoThread());
+	private final TimedHttpClient client = new TimedHttpClient(this.httpClient, this.io.worker().getIoThread());
 
 	@Test
 	void unansweredCallTimesOutAndClosesConnection() throws Exception {
