--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackoffs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackoffs.java
@@ -63,7 +63,7 @@
 	 * @param now the current time in milliseconds
 	 * @return {@code false} if the limit of returns within the current period is reached
 	 */
-	boolean takesReturn(TargetIncarnation target, long now) {
+	boolean allowsReturn(TargetIncarnation target, long now) {
 		return remainingMillis(target, now) == 0 || this.byIncarnation.get(target).returns < MAX_RETURNS;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
@@ -167,7 +167,7 @@
 	 * reached
 	 */
 	public boolean allowsReturn(ListedTarget target, long now) {
-		return this.backoffs.takesReturn(target.incarnation(), now);
+		return this.backoffs.allowsReturn(target.incarnation(), now);
 	}
 
 	/**
