--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Replay.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Replay.java
@@ -105,7 +105,7 @@
 		}
 
 		@Override
-		public void onEnd(String name, int total, boolean byLimit, long atMicros) {
+		public void onEnd(String name, int total, boolean limitReached, long atMicros) {
 			Replay.this.policy.handleEnd(this.engine, Integer.parseInt(name), total, atMicros / 1000);
 		}
 
