--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CandidateFilter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CandidateFilter.java
@@ -10,7 +10,7 @@
  *
  * @param service the service that serves the request
  * @param regions the regions in which the request may be served
- * @param excludedIds the ids of targets to exclude; may change while the scope is in use
+ * @param excludedIds the ids of targets to exclude; may change while the filter is in use
  * @since 0.3
  */
 public record CandidateFilter(String service, AllowedRegions regions, Set<String> excludedIds) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
@@ -125,8 +125,8 @@
 	}
 
 	/**
-	 * Return the ledger with the configuration in force and its age.
-	 * @return the ledger passed to the constructor
+	 * Return the holder of the configuration in force and its age.
+	 * @return the holder passed to the constructor
 	 */
 	public ConfigurationHolder configurationHolder() {
 		return this.configurationHolder;
