--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
@@ -116,7 +116,7 @@
 	 * @return milliseconds; 0 if it may do so now
 	 */
 	public long waitMillis(ListedTarget target, long now) {
-		return isUnrestricted() ? 0 : Math.max(this.limits.freeInMillis(target, now),
+		return isUnrestricted() ? 0 : Math.max(this.limits.waitMillis(target, now),
 				this.backoffs.remainingMillis(target.incarnation(), now));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
@@ -168,7 +168,7 @@
 	 * @return milliseconds, 0 if it may do so now; at most the time until any entry has a
 	 * permit
 	 */
-	long freeInMillis(ListedTarget target, long now) {
+	long waitMillis(ListedTarget target, long now) {
 		Limit limit = this.byIncarnation.get(target.incarnation());
 		if (limit == null || limit.perSecond.isEmpty()) {
 			return 0;
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -261,7 +261,7 @@
 			removeOld(at);
 			this.requests.add(at);
 			LimitedFleet.this.clientRequests += (at >= CHECKED_FROM_MILLIS) ? 1 : 0;
-			if (this.limits.freeInMillis(LimitedFleet.this.target, at) > 0) {
+			if (this.limits.waitMillis(LimitedFleet.this.target, at) > 0) {
 				return;
 			}
 			this.limits.sent(LimitedFleet.this.target, at);
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetRateLimitsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetRateLimitsTests.java
@@ -89,7 +89,7 @@
 		assertThat(this.limits.recordGossiped(update(OptionalDouble.of(9), 100), 1_600)).isTrue();
 		assertThat(this.limits.updates(1_600)).containsExactly(update(OptionalDouble.of(9), 100));
 		assertThat(this.limits.recordGossiped(update(OptionalDouble.empty(), 0), 1_700)).isTrue();
-		assertThat(this.limits.freeInMillis(this.target, 1_700)).isEqualTo(0);
+		assertThat(this.limits.waitMillis(this.target, 1_700)).isEqualTo(0);
 	}
 
 	@Test
@@ -133,7 +133,7 @@
 	void waitingTimeIsBoundedByTheNextPermitOfAnyEntry() {
 		this.share = 0.001;
 		report(2, 0);
-		assertThat(this.limits.freeInMillis(this.target, 0)).isEqualTo(527);
+		assertThat(this.limits.waitMillis(this.target, 0)).isEqualTo(527);
 	}
 
 	@Test
@@ -142,7 +142,7 @@
 		report(2, 0);
 		this.limits.recordUnlisted(this.target.incarnation(), 1_000);
 		assertThat(this.limits.updates(1_000)).isEmpty();
-		assertThat(this.limits.freeInMillis(this.target, 61_000)).isGreaterThan(0L);
+		assertThat(this.limits.waitMillis(this.target, 61_000)).isGreaterThan(0L);
 		this.limits.updates(61_001);
 		assertThat(this.limits.isEmpty()).isTrue();
 	}
@@ -177,7 +177,7 @@
 	private int sentIn(TargetRateLimits limitsToUse, long from, long to, long step) {
 		int sent = 0;
 		for (long now = from; now < to; now += step) {
-			if (limitsToUse.freeInMillis(this.target, now) <= 0) {
+			if (limitsToUse.waitMillis(this.target, now) <= 0) {
 				limitsToUse.sent(this.target, now);
 				sent++;
 			}
