--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CallCompletion.java
@@ -64,18 +64,18 @@
 		refuse(call, reason, detail, this.settings.retryAfterMillis(), now);
 	}
 
-	private void refuse(DirectCall call, RefusalReason reason, String detail, long comeBackMillis, long now) {
+	private void refuse(DirectCall call, RefusalReason reason, String detail, long retryAfterMillis, long now) {
 		abandonAll(call);
-		Refusal refusal = refusal(call.verdict(), reason, detail, comeBackMillis);
+		Refusal refusal = refusal(call.verdict(), reason, detail, retryAfterMillis);
 		finish(call, AuditKind.REFUSED,
 				refusal.reason().label() + ", " + refusal.verdict().label() + ": " + refusal.detail(), now);
 		this.outputs.refuse(call.number(), refusal);
 	}
 
 	// Reasons that promise "not run" are replaced if the request may have been executed.
-	private static Refusal refusal(Verdict verdict, RefusalReason reason, String detail, long comeBackMillis) {
+	private static Refusal refusal(Verdict verdict, RefusalReason reason, String detail, long retryAfterMillis) {
 		if (verdict == Verdict.NOT_RUN) {
-			return Refusal.notRun(reason, detail, Duration.ofMillis(comeBackMillis));
+			return Refusal.notRun(reason, detail, Duration.ofMillis(retryAfterMillis));
 		}
 		boolean impliesNotRun = reason != RefusalReason.TARGET_LOST && reason != RefusalReason.LINK_LOST;
 		return new Refusal(verdict, impliesNotRun ? RefusalReason.TARGET_LOST : reason, detail, Optional.empty());
