--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopy.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StandbyCopy.java
@@ -18,10 +18,10 @@
 
 	private long copiedTokens;
 
-	StandbyCopy(ListedTarget source, ListedTarget destination, long promisedTokens) {
+	StandbyCopy(ListedTarget source, ListedTarget destination, long reservedTokens) {
 		this.source = source;
 		this.destination = destination;
-		this.reservedTokens = promisedTokens;
+		this.reservedTokens = reservedTokens;
 	}
 
 	ListedTarget source() {
