--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetIncarnationTests.java
@@ -170,12 +170,12 @@
 		assertThat(this.directory.size()).isEqualTo(1);
 	}
 
-	private void putListing(long startMillis, boolean isLeaving, long revision) {
-		this.directory.put(new TargetListing(target(startMillis, isLeaving), revision));
+	private void putListing(long startMillis, boolean isDraining, long revision) {
+		this.directory.put(new TargetListing(target(startMillis, isDraining), revision));
 	}
 
-	private static ListedTarget target(long startMillis, boolean isLeaving) {
-		return new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, isLeaving, OptionalLong.empty(),
+	private static ListedTarget target(long startMillis, boolean isDraining) {
+		return new ListedTarget("a", "s", "10.0.0.1", 80, "dc", 4, isDraining, OptionalLong.empty(),
 				OptionalLong.of(startMillis));
 	}
 
