--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
@@ -137,7 +137,7 @@
 	private void open(Caller caller) {
 		long number = ++this.calls;
 		DispatchHarness entry = caller.entry;
-		RouteSpec route = new RouteSpec(caller.kind.name(), "h", "/", RequestKind.STREAMING, caller.kind.patienceMillis,
+		RouteSpec route = new RouteSpec(caller.kind.name(), "h", "/", RequestKind.STREAMING, caller.kind.callerTimeoutMillis,
 				caller.kind.goalMillis, 180, caller.kind.rank, 1, false,
 				List.of(new WeightedService(DispatchHarness.ENGINES, 1)), AllowedRegions.any());
 		GenerationSize size = new GenerationSize("m", caller.kind.promptTokens, caller.kind.maxTokens,
@@ -185,15 +185,15 @@
 
 		private final long goalMillis;
 
-		private final long patienceMillis;
+		private final long callerTimeoutMillis;
 
-		Kind(int rank, long promptTokens, long maxTokens, int events, long goalMillis, long patienceMillis) {
+		Kind(int rank, long promptTokens, long maxTokens, int events, long goalMillis, long callerTimeoutMillis) {
 			this.rank = rank;
 			this.promptTokens = promptTokens;
 			this.maxTokens = maxTokens;
 			this.events = events;
 			this.goalMillis = goalMillis;
-			this.patienceMillis = patienceMillis;
+			this.callerTimeoutMillis = callerTimeoutMillis;
 		}
 
 	}
@@ -243,7 +243,7 @@
 			this.events = events;
 			this.arrivedAt = at;
 			this.dueAt = at;
-			this.givesUpAt = at + kind.patienceMillis;
+			this.givesUpAt = at + kind.callerTimeoutMillis;
 		}
 
 	}
