--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/OverloadedFleet.java
@@ -137,8 +137,8 @@
 	private void open(Caller caller) {
 		long number = ++this.calls;
 		DispatchHarness entry = caller.entry;
-		RouteSpec route = new RouteSpec(caller.kind.name(), "h", "/", RequestKind.STREAMING, caller.kind.callerTimeoutMillis,
-				caller.kind.goalMillis, 180, caller.kind.rank, 1, false,
+		RouteSpec route = new RouteSpec(caller.kind.name(), "h", "/", RequestKind.STREAMING,
+				caller.kind.callerTimeoutMillis, caller.kind.goalMillis, 180, caller.kind.rank, 1, false,
 				List.of(new WeightedService(DispatchHarness.ENGINES, 1)), AllowedRegions.any());
 		GenerationSize size = new GenerationSize("m", caller.kind.promptTokens, caller.kind.maxTokens,
 				OptionalLong.empty(), List.of());
