--- a/laneworks-core/src/main/java/dev/laneworks/core/audit/AuditKind.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/audit/AuditKind.java
@@ -9,7 +9,7 @@
  */
 public enum AuditKind {
 
-	/** A configuration came into force. */
+	/** A configuration became effective. */
 	CONFIGURATION_ACCEPTED,
 
 	/** A configuration was refused. */
@@ -48,7 +48,7 @@
 	/** A target was ejected or its ejection ended. */
 	TARGET_HEALTH,
 
-	/** A link came up or went down. */
+	/** A link was established or lost. */
 	LINK,
 
 	/** The process started draining. */
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/BackpressureSignals.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/BackpressureSignals.java
@@ -9,8 +9,8 @@
  *
  * @param limitPerSecond the requests per second that the target accepts from all entries
  * together; empty if the response has no limit, not a number if it cannot be parsed
- * @param backoffMillis the backoff that the target asks of this entry, in milliseconds;
- * empty if the response has none, negative if it cannot be parsed
+ * @param backoffMillis the backoff that the target requests from this entry, in
+ * milliseconds; empty if the response has none, negative if it cannot be parsed
  * @param draining whether the target reports that it is draining
  * @since 0.4
  */
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/DrainingTargets.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/DrainingTargets.java
@@ -8,7 +8,7 @@
 
 /**
  * Records which targets reported that they are draining.
- *
+ * <p>
  * Draining is final for an incarnation, whatever the list of targets contains: the list
  * may be stale. An incarnation therefore stays recorded while it is not listed. Not
  * thread-safe.
@@ -16,8 +16,9 @@
 final class DrainingTargets {
 
 	/**
-	 * The retention of an incarnation after its latest report, in milliseconds; longer
-	 * than the list may be unavailable and a draining target may keep running.
+	 * The retention of an incarnation after its latest report, in milliseconds; exceeds
+	 * both the longest outage of the list and the time that a draining target may keep
+	 * running.
 	 */
 	private static final long RETENTION_MILLIS = 600_000;
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/PermitBucket.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/PermitBucket.java
@@ -3,7 +3,7 @@
 /**
  * Bucket of permits to send one request each, which accrue at a rate and expire if they
  * are not used.
- *
+ * <p>
  * A bucket starts with a fraction of a permit, so that processes with a low rate do not
  * all get their permits at the same time.
  */
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/ProportionalShare.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/ProportionalShare.java
@@ -7,7 +7,7 @@
 /**
  * Divides a rate limit in proportion to the recent requests of each entry, as exchanged
  * by gossip.
- *
+ * <p>
  * Clients are spread unevenly over entries. With equal shares, one entry would reject
  * requests while the share of another is unused.
  *
@@ -17,7 +17,7 @@
 
 	/**
 	 * The requests added to the count of each entry, so that entries that all receive
-	 * their first requests within one heartbeat do not each claim the whole limit.
+	 * their first requests within one heartbeat do not each claim the full limit.
 	 */
 	private static final double EXTRA_REQUESTS = 1;
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackoffs.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackoffs.java
@@ -6,8 +6,8 @@
 import dev.laneworks.core.directory.TargetIncarnation;
 
 /**
- * Backoff periods that targets asked of this entry when they rejected a request.
- *
+ * Backoff periods that targets requested from this entry when they rejected a request.
+ * <p>
  * A period applies to this entry only, and continues while the target is not listed. Not
  * thread-safe.
  */
@@ -34,7 +34,7 @@
 	}
 
 	/**
-	 * Record that a target asked for a backoff. Of two periods, the one that ends later
+	 * Record that a target requested a backoff. Of two periods, the one that ends later
 	 * applies.
 	 * @param target the incarnation of the target
 	 * @param millis the length in milliseconds, which must be valid
@@ -68,7 +68,7 @@
 	}
 
 	// Counts a request that is sent despite the backoff.
-	void sent(TargetIncarnation target, long now) {
+	void recordSent(TargetIncarnation target, long now) {
 		if (remainingMillis(target, now) > 0) {
 			this.byIncarnation.get(target).returns++;
 		}
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetBackpressure.java
@@ -18,7 +18,7 @@
 /**
  * Back-pressure state of all targets, from the signals in their responses and from other
  * entries.
- *
+ * <p>
  * State is kept by incarnation of a target. A change is audited each time, an invalid
  * signal once for each incarnation. Not thread-safe.
  *
@@ -126,12 +126,13 @@
 	 * @param now the current time in milliseconds
 	 */
 	public void recordSent(ListedTarget target, long now) {
-		this.limits.sent(target, now);
-		this.backoffs.sent(target.incarnation(), now);
+		this.limits.recordSent(target, now);
+		this.backoffs.recordSent(target.incarnation(), now);
 	}
 
 	/**
-	 * Record that a target is not listed any more. Its signals stay in force for a while.
+	 * Record that a target is not listed any more. Its signals are retained for a limited
+	 * time.
 	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 */
--- a/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/backpressure/TargetRateLimits.java
@@ -16,7 +16,7 @@
 /**
  * Enforces the rate limits that targets advertise for all entries together, without a
  * shared counter.
- *
+ * <p>
  * Each entry sends its share. A request that exceeds the share, because its generation
  * can resume nowhere else, is deducted from later permits. A limit holds until a response
  * without a limit arrives to a request that was sent after the limit was advertised;
@@ -183,7 +183,7 @@
 	 * @param target the listed target
 	 * @param now the current time in milliseconds
 	 */
-	void sent(ListedTarget target, long now) {
+	void recordSent(ListedTarget target, long now) {
 		Limit limit = this.byIncarnation.get(target.incarnation());
 		if (limit != null && limit.perSecond.isPresent()) {
 			limit.unlistedAt = OptionalLong.empty();
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallCoordinator.java
@@ -73,7 +73,7 @@
 	/**
 	 * Open a call and start its first attempt.
 	 * @param number the call's number, which must not have been used before
-	 * @param request the request and the intent that it falls under
+	 * @param request the request and the intent that applies to it
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
 	public void open(long number, CallRequest request, long now) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallRequest.java
@@ -10,7 +10,7 @@
  * Request of a caller with the properties that routing needs.
  *
  * @param work the request for the sidecar
- * @param intent the intent that the request falls under
+ * @param intent the intent that applies to the request
  * @param prefixHash the hash of the beginning of the prompt, or 0
  * @param ticketTarget the target named by the caller's ticket, or empty without a ticket
  * @param mayResume whether a disconnected caller may resume the output later
--- a/laneworks-core/src/main/java/dev/laneworks/core/call/CallTerminator.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/call/CallTerminator.java
@@ -39,7 +39,8 @@
 		this.context.calls().remove(call);
 	}
 
-	// Adds jitter, never a reduction, so that refused callers do not retry all at once.
+	// Adds jitter, never a reduction, so that refused callers do not all retry at the
+	// same time.
 	private Duration spread(Duration retryAfter) {
 		return retryAfter.plusMillis(this.backoff.spread(retryAfter.toMillis()) / 2);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/configuration/SpillRule.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/configuration/SpillRule.java
@@ -1,7 +1,8 @@
 package dev.laneworks.core.configuration;
 
 /**
- * Where requests may go when the data centres of their intent are full.
+ * Rule that limits the data centres to which requests are routed when those of their
+ * intent are full.
  *
  * @since 0.1
  */
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/DrainingCause.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/DrainingCause.java
@@ -1,7 +1,7 @@
 package dev.laneworks.core.directory;
 
 /**
- * What the directory concluded a target's draining from.
+ * Evidence from which the directory concluded that a target is draining.
  *
  * @since 0.2
  */
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/ListedTarget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/ListedTarget.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 /**
- * A target as described by its own list entry.
+ * A target as described by its entry in the list of targets.
  *
  * @param id the target's name, which it may keep when it restarts
  * @param service the service to which it belongs
--- a/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/directory/TargetDirectory.java
@@ -51,7 +51,7 @@
 	 */
 	private final Map<String, TargetListing> staleEntries = new HashMap<>();
 
-	/** Whether the next read of the whole list is that of an older copy. */
+	/** Whether the next read of the complete list returns an older copy. */
 	private boolean readingOlderCopy;
 
 	private final Map<String, Long> expiryDeadlines = new HashMap<>();
@@ -240,7 +240,7 @@
 	}
 
 	/**
-	 * Apply a new read of the whole list. Targets that it lacks are removed.
+	 * Apply a new read of the complete list. Targets that it lacks are removed.
 	 * @param all the entries of the list
 	 * @param now the current time in milliseconds
 	 */
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AnswerHead.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AnswerHead.java
@@ -75,8 +75,8 @@
 
 	/**
 	 * Determine whether the signals in the answer apply to the intended target. They do
-	 * not if the answer belongs to another request or comes from another target at the
-	 * same address.
+	 * not if the answer belongs to another request or is from another target at the same
+	 * address.
 	 * @param id the id of the request
 	 * @return {@code true} if the load and back-pressure signals may be recorded
 	 */
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptOutcomes.java
@@ -7,8 +7,8 @@
 import dev.laneworks.core.directory.TargetDirectory;
 
 /**
- * Reaction to the end of an attempt: another attempt, resumption at a copy, or the end of
- * the call. Records each success and failure in the quality estimate of the target.
+ * Handles the end of an attempt: another attempt, resumption at a copy, or the end of the
+ * call. Records each success and failure in the quality estimate of the target.
  */
 final class AttemptOutcomes {
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/AttemptSender.java
@@ -12,7 +12,7 @@
 import dev.laneworks.core.serving.EngineSpec;
 
 /**
- * Selection of targets for attempts, their sending, and the accounting of engine memory
+ * Selects targets for attempts, sends the attempts, and accounts for the engine memory
  * that they reserve.
  */
 final class AttemptSender {
@@ -113,8 +113,8 @@
 	 */
 	Attempt send(DirectCall call, ListedTarget target, Optional<EngineSpec> engine, Optional<ResumePoint> resume,
 			long now) {
-		// A moved generation gets no live copy: copying its whole KV cache would use
-		// links that other generations need to leave the same engine.
+		// A moved generation gets no live copy: copying its entire KV cache would use
+		// links that other generations on the same engine need for their moves.
 		Optional<ListedTarget> backup = resume.isPresent() ? Optional.empty()
 				: engine.flatMap((e) -> chooseBackup(call, target, e, now));
 		Attempt attempt = call.begin(target, resume, backup, now);
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CandidateFilter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CandidateFilter.java
@@ -6,7 +6,7 @@
 import dev.laneworks.core.serving.AllowedRegions;
 
 /**
- * Candidate filter that selects the targets a request may be sent to.
+ * Filter that selects the targets to which a request may be sent.
  *
  * @param service the service that serves the request
  * @param regions the regions in which the request may be served
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Continuation.java
@@ -9,8 +9,7 @@
 import dev.laneworks.core.serving.EngineSpec;
 
 /**
- * Resumption of a generation at a copy of its KV cache when its engine is draining or
- * lost.
+ * Resumes generations at copies of their KV cache when their engine is draining or lost.
  * <p>
  * The copy is a live copy that grows with the generation, a standby copy that is
  * refreshed periodically, or one that a move has just made. Each resumption uses the
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CopyCoordination.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/CopyCoordination.java
@@ -3,7 +3,7 @@
 import dev.laneworks.core.directory.ListedTarget;
 
 /**
- * Coordination of the processes that copy generations away from the same engine.
+ * Coordinates the processes that copy generations away from the same engine.
  * <p>
  * Copies from one engine share its link. If each process waits for its turn, every
  * generation resumes as soon as its own copy is complete instead of at the end of all
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectCall.java
@@ -78,7 +78,7 @@
 		return this.openedAt;
 	}
 
-	// The time at which the caller gives up.
+	// The time at which the caller stops waiting.
 	long callerTimeoutAt() {
 		return this.openedAt + this.request.callerTimeoutMillis();
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectRequest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DirectRequest.java
@@ -10,12 +10,12 @@
 /**
  * Admitted request with its route and client account resolved.
  *
- * @param id the request id chosen by the caller
+ * @param id the request id assigned by the caller
  * @param route the matching route
  * @param service the service that answers the request
  * @param account the client account, or empty text on an open route
  * @param callerTimeoutMillis the time from now, in milliseconds, after which the caller
- * gives up
+ * stops waiting
  * @param regions the regions in which the request may be served
  * @param digest the digest that identifies repetitions of the same request
  * @param size the tokens it demands from an engine; empty for a plain service
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DispatchSettings.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/DispatchSettings.java
@@ -6,7 +6,7 @@
  * Timeouts and limits of a {@link Dispatcher}.
  *
  * @param connectMillis the shortest connect timeout in milliseconds before another target
- * is tried; longer if connections take longer
+ * is tried; longer if connections usually need more time
  * @param maxAttempts the most targets that one request is sent to
  * @param maxConnections the most targets that connections are attempted to for one
  * request; larger than {@code maxAttempts} because a stale directory may list replaced
@@ -16,7 +16,7 @@
  * @param retryAfterMillis the default retry delay of refused callers in milliseconds
  * @param noResponseGoals the number of response-time goals without an answer after which
  * a target counts as unresponsive
- * @param retryTimeDivisor the divisor of the response-time goal that gives the remaining
+ * @param retryTimeDivisor the divisor of the response-time goal that yields the remaining
  * time needed for a retry
  * @param mechanisms the enabled optional mechanisms
  * @since 0.2
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/Eligibility.java
@@ -101,9 +101,9 @@
 	}
 
 	/**
-	 * Determine why a request must not be sent to its chosen target after all, once its
+	 * Determine why a request must not be sent to its selected target after all, once its
 	 * connection is established.
-	 * @param target the chosen target
+	 * @param target the selected target
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return the reason, or empty if the request may be sent
 	 */
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/GenerationMove.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/GenerationMove.java
@@ -70,7 +70,7 @@
 		return this.notBefore;
 	}
 
-	void notBefore(long time) {
+	void setNotBefore(long time) {
 		this.notBefore = time;
 	}
 
@@ -86,7 +86,7 @@
 		return this.handle;
 	}
 
-	void handle(String name) {
+	void setHandle(String name) {
 		this.handle = name;
 	}
 
@@ -95,8 +95,8 @@
 		return this.announced;
 	}
 
-	void setAnnounced(boolean isCounted) {
-		this.announced = isCounted;
+	void setAnnounced(boolean newValue) {
+		this.announced = newValue;
 	}
 
 	// The engine that already holds a part of the KV cache, if there is one.
@@ -108,7 +108,7 @@
 		return this.sourceClosed;
 	}
 
-	void sourceClosed() {
+	void markSourceClosed() {
 		this.sourceClosed = true;
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/NoTargetReason.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/NoTargetReason.java
@@ -14,8 +14,8 @@
 		return new NoTargetReason(detail, OptionalLong.empty());
 	}
 
-	static NoTargetReason until(String detail, long comeBackMillis) {
-		return new NoTargetReason(detail, OptionalLong.of(comeBackMillis));
+	static NoTargetReason until(String detail, long delayMillis) {
+		return new NoTargetReason(detail, OptionalLong.of(delayMillis));
 	}
 
 }
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/SharedRetryBudget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/SharedRetryBudget.java
@@ -16,8 +16,8 @@
  * In any window, the fleet may retry a share of its requests to a service plus a fixed
  * number. Each process may always spend the share of its own requests and its part of the
  * fixed number, so that the sum stays within the limit while processes join, leave or
- * pause. A process that receives the spending of others may spend more, while all
- * together stay below the limit with a margin. Not thread-safe.
+ * pause. A process that receives the usage of others may spend more, while all together
+ * stay below the limit with a margin. Not thread-safe.
  *
  * @since 0.2
  */
@@ -31,7 +31,7 @@
 
 	/**
 	 * Fraction of the fleet-wide limit that processes may spend together. The margin
-	 * covers gossip updates that are late or lost when a process dies.
+	 * covers gossip updates that are late or lost when a process crashes.
 	 */
 	private static final double SHARED_LIMIT_FRACTION = 0.7;
 
@@ -42,12 +42,12 @@
 	private final Map<String, ServiceWindow> services = new HashMap<>();
 
 	/**
-	 * Create an empty window.
+	 * Create a budget without recorded requests.
 	 * @param windowMillis the window length in milliseconds
 	 * @param ratio the retries allowed per request received
 	 * @param fixed this process's part of the fixed number of retries
 	 * @param fleetFixed the fixed number of retries of the fleet
-	 * @param others the source of the spending of other processes
+	 * @param others the source of the usage of other processes
 	 */
 	public SharedRetryBudget(long windowMillis, double ratio, double fixed, double fleetFixed, RemoteUsage others) {
 		this.fleetFixed = fleetFixed;
@@ -109,18 +109,18 @@
 
 	private boolean isWithinFleetLimit(String service, ServiceWindow window, long now) {
 		return this.others.usage(service, this.windowMillis, now)
-			.filter((o) -> o.repeats() + window.retries.size() + 1 <= SHARED_LIMIT_FRACTION
+			.filter((o) -> o.retries() + window.retries.size() + 1 <= SHARED_LIMIT_FRACTION
 					* (this.ratio * (o.requests() + window.requests.size()) + this.fleetFixed))
 			.isPresent();
 	}
 
 	private ServiceWindow window(String service, long now) {
 		ServiceWindow window = this.services.computeIfAbsent(service, (s) -> new ServiceWindow());
-		window.forgetBefore(now - this.windowMillis);
+		window.removeBefore(now - this.windowMillis);
 		return window;
 	}
 
-	/** Source of the retries spent by other processes. */
+	/** Source of the retry budget usage of other processes. */
 	@FunctionalInterface
 	public interface RemoteUsage {
 
@@ -129,7 +129,7 @@
 		 * @param service the service's name
 		 * @param windowMillis the window length in milliseconds
 		 * @param now the current time in milliseconds of the monotonic clock
-		 * @return the sum, or empty if nothing is known of other processes
+		 * @return the sum, or empty if there is no data of other processes
 		 */
 		Optional<RetryBudgetUsage> usage(String service, long windowMillis, long now);
 
@@ -141,12 +141,12 @@
 
 		private final Deque<Long> retries = new ArrayDeque<>();
 
-		void forgetBefore(long time) {
-			forgetBefore(this.requests, time);
-			forgetBefore(this.retries, time);
+		void removeBefore(long time) {
+			removeBefore(this.requests, time);
+			removeBefore(this.retries, time);
 		}
 
-		private static void forgetBefore(Deque<Long> times, long time) {
+		private static void removeBefore(Deque<Long> times, long time) {
 			while (!times.isEmpty() && times.peekFirst() <= time) {
 				times.removeFirst();
 			}
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/StreamMover.java
@@ -116,7 +116,7 @@
 		if (move.isEmpty() || move.get().phase() == CopyPhase.WAITING || move.get().phase() == CopyPhase.PRECOPY) {
 			return false;
 		}
-		move.get().sourceClosed();
+		move.get().markSourceClosed();
 		if (move.get().phase() == CopyPhase.STOPPED) {
 			resumeAtDestination(call, move.get(), now);
 		}
@@ -141,7 +141,7 @@
 		record(call, move, (order.stopFirst() ? "final copy" : "copy while running") + " to " + order.destination().id()
 				+ ": " + result.outcome() + " in " + (now - move.orderedAt()) + " ms");
 		if (!result.handle().isEmpty()) {
-			move.handle(result.handle());
+			move.setHandle(result.handle());
 		}
 		if (move.phase() == CopyPhase.PRECOPY) {
 			handleRunningCopy(call, move, result, now);
@@ -224,7 +224,7 @@
 		Optional<EngineSpec> engine = this.resumption.engine(call);
 		long tokens = call.attempt().map(Attempt::reservedTokens).orElse(0L);
 		Optional<StandbyCopy> standby = this.standbys.detach(call);
-		standby.ifPresent((s) -> move.handle(s.handle()));
+		standby.ifPresent((s) -> move.setHandle(s.handle()));
 		Optional<ListedTarget> partialCopy = standby.map(StandbyCopy::destination)
 			.or(move::findPartialCopyHolder)
 			.filter((d) -> !move.triedIds().contains(d.id()) && this.resumption.acceptsWork(d, now));
@@ -248,7 +248,7 @@
 	private void releasePartialCopy(GenerationMove move) {
 		if (!move.handle().isEmpty()) {
 			this.outputs.releaseCopy(move.source(), move.handle());
-			move.handle("");
+			move.setHandle("");
 		}
 	}
 
@@ -274,7 +274,7 @@
 			}
 			case NO_ROOM, FAILED -> {
 				backOff(move.destination(), now);
-				move.handle("");
+				move.setHandle("");
 				retryAtOtherEngine(queue, call, move, now);
 			}
 			// Not attributed to the destination: the source did not make the copy.
@@ -305,7 +305,7 @@
 			return;
 		}
 		move.setPhase(CopyPhase.WAITING);
-		move.notBefore(now + RETRY_DELAY_MILLIS);
+		move.setNotBefore(now + RETRY_DELAY_MILLIS);
 		queue.requeue(call);
 		this.timers.schedule(move.notBefore(), (t) -> {
 			if (queue.markReady(call)) {
--- a/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetEstimate.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/dispatch/TargetEstimate.java
@@ -231,7 +231,7 @@
 	}
 
 	/**
-	 * Record a load report that came with a response of the target.
+	 * Record the load report in a response of the target.
 	 * @param load the reported load
 	 * @param now the current time in milliseconds of the monotonic clock
 	 */
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentReader.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/DocumentReader.java
@@ -15,7 +15,7 @@
 import io.vavr.control.Either;
 
 /**
- * Reads JSON with comments and trailing commas, and keeps the line of each value.
+ * Reads JSON with comments and trailing commas, and records the line of each value.
  *
  * @since 0.1
  */
--- a/laneworks-core/src/main/java/dev/laneworks/core/document/package-info.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/document/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reading of JSON with comments into values that keep their line.
+ * Reading of JSON with comments into values that record their line.
  */
 package dev.laneworks.core.document;
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/CallTracker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/CallTracker.java
@@ -55,7 +55,7 @@
 	 * Begin a call, in place of any open one.
 	 * <p>
 	 * The timeout is extended while parts of the answer arrive. Otherwise a large answer
-	 * would be restarted from its first byte again and again.
+	 * would be restarted from its first byte repeatedly.
 	 * @param answerDue when the call times out, in milliseconds
 	 * @param partMillis how long each further part of the answer may take, in
 	 * milliseconds
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/LagTracker.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/LagTracker.java
@@ -15,8 +15,8 @@
 	static final long OVERDUE_MILLIS = 300;
 
 	/**
-	 * The most doublings of that time for consecutive overdue watches. They give a busy
-	 * link time to send a large answer to all processes.
+	 * The maximum doublings of that time for consecutive overdue watches. They give a
+	 * busy link time to send a large answer to all processes.
 	 */
 	private static final int MAX_DOUBLINGS = 4;
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedWatch.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/follow/SharedWatch.java
@@ -23,8 +23,8 @@
  * turn stops in favour of a higher-ranked watcher of another group and forwards that
  * one's updates to its own group. The number of calls to the store therefore does not
  * grow with the number of groups, and an update between groups is sent to
- * {@value #RECEIVERS_PER_GROUP} processes of each. There is no election: two watchers at
- * once only cost additional calls. Changes are sent to the own group even where each
+ * {@value #RECEIVERS_PER_GROUP} processes of each. There is no election: concurrent
+ * watchers only cost additional calls. Changes are sent to the own group even where each
  * process watches for itself, so that a process that the store rejects still receives
  * them. It can also request the changes that it missed. Not thread-safe.
  *
@@ -36,8 +36,8 @@
 	public static final long HEARTBEAT_MILLIS = 150;
 
 	/**
-	 * How long after its last message a watcher counts as gone, in milliseconds;
-	 * tolerates the loss of two heartbeats.
+	 * The silence after which a watcher is considered failed, in milliseconds; tolerates
+	 * the loss of two heartbeats.
 	 */
 	private static final long WATCHER_TIMEOUT_MILLIS = 480;
 
@@ -180,12 +180,12 @@
 	}
 
 	private boolean isAnyRankedHigher(Map<String, LastUpdate> watchers, long key, long revision, long now) {
-		watchers.values().removeIf((h) -> now - h.at > WATCHER_TIMEOUT_MILLIS);
+		watchers.values().removeIf((w) -> now - w.at > WATCHER_TIMEOUT_MILLIS);
 		long own = Rendezvous.weight(key, this.instance);
 		return watchers.entrySet()
 			.stream()
-			.anyMatch((r) -> r.getValue().revision >= revision
-					&& Long.compareUnsigned(Rendezvous.weight(key, r.getKey()), own) > 0);
+			.anyMatch((w) -> w.getValue().revision >= revision
+					&& Long.compareUnsigned(Rendezvous.weight(key, w.getKey()), own) > 0);
 	}
 
 	private boolean isFromOwnGroup(StoreUpdate update) {
@@ -225,11 +225,11 @@
 	 * @param from the revision before the changes
 	 * @param to the revision after them
 	 * @param changes the changes between the two revisions; empty for a heartbeat
-	 * @param returning whether the store was unreachable until recently
+	 * @param recovering whether the store was unreachable until recently
 	 */
-	public void sendChanges(long from, long to, List<StoreChange> changes, boolean returning) {
+	public void sendChanges(long from, long to, List<StoreChange> changes, boolean recovering) {
 		recordChanges(from, to, changes);
-		StoreUpdate readUpdate = createUpdate(from, to, changes, returning, StoreUpdate.Kind.READ);
+		StoreUpdate readUpdate = createUpdate(from, to, changes, recovering, StoreUpdate.Kind.READ);
 		if (isShared() || !changes.isEmpty()) {
 			this.localSender.accept(readUpdate);
 		}
@@ -240,17 +240,17 @@
 
 	/**
 	 * Send the differences that a read of all items found to other processes. They apply
-	 * without the changes before them, so that a process that cannot reach the store
-	 * learns of a draining target that no watch reported.
+	 * without the changes before them, so that a process that cannot reach the store is
+	 * notified of a draining target that no watch reported.
 	 * @param at the revision that was read
 	 * @param missed the differences; if empty, nothing is sent
-	 * @param returning whether the store was unreachable until recently
+	 * @param recovering whether the store was unreachable until recently
 	 */
-	public void sendMissed(long at, List<StoreChange> missed, boolean returning) {
+	public void sendMissed(long at, List<StoreChange> missed, boolean recovering) {
 		if (missed.isEmpty()) {
 			return;
 		}
-		StoreUpdate missedUpdate = createUpdate(at, at, missed, returning, StoreUpdate.Kind.READ);
+		StoreUpdate missedUpdate = createUpdate(at, at, missed, recovering, StoreUpdate.Kind.READ);
 		this.localSender.accept(missedUpdate);
 		if (isShared()) {
 			this.remoteSender.accept(missedUpdate);
@@ -286,9 +286,9 @@
 		}
 	}
 
-	private StoreUpdate createUpdate(long from, long to, List<StoreChange> changes, boolean returning,
+	private StoreUpdate createUpdate(long from, long to, List<StoreChange> changes, boolean recovering,
 			StoreUpdate.Kind kind) {
-		return new StoreUpdate(this.instance, this.group, from, to, changes, returning, kind);
+		return new StoreUpdate(this.instance, this.group, from, to, changes, recovering, kind);
 	}
 
 	/**
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Gossip.java
@@ -21,7 +21,7 @@
 /**
  * Exchanges load updates and back-pressure signals with other entries and aggregates
  * theirs.
- *
+ * <p>
  * Each heartbeat carries all work of an entry, so that it makes up for lost and late
  * updates. Between heartbeats, changes are sent to near entries, which use the same
  * targets, and moves of generations to entries with work at the same target. Entries
@@ -197,7 +197,7 @@
 
 	/**
 	 * Determine whether this entry may copy a generation away from a target now.
-	 *
+	 * <p>
 	 * No copy starts while another one is in progress. Otherwise, entries with
 	 * generations to move take turns by a rank that all of them compute alike and that
 	 * differs by target. Until the updates of other entries can have arrived, only the
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdate.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/LoadUpdate.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * Load update of one entry: its work at targets and what it knows of other entries.
+ * Load update of one entry: its work at targets and its view of other entries.
  *
  * @param instance the name of the entry
  * @param dataCentre the data centre of the entry
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/Peer.java
@@ -11,7 +11,7 @@
 
 /**
  * Latest state of another entry, as received in its updates.
- *
+ * <p>
  * At least one update must be applied before any other method is called.
  */
 final class Peer {
@@ -74,14 +74,14 @@
 	/**
 	 * Determine whether an update may replace the latest one.
 	 * @param other the update
-	 * @return {@code false} if it comes from the same process and is not newer
+	 * @return {@code false} if it is from the same process and is not newer
 	 */
 	boolean isReplacedBy(LoadUpdate other) {
 		return isOtherProcess(other) || this.latest.sequence() < other.sequence();
 	}
 
 	/**
-	 * Determine whether an update comes from another process than the latest one.
+	 * Determine whether an update is from another process than the latest one.
 	 * @param other the update
 	 * @return {@code true} if the entry was restarted
 	 */
--- a/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/gossip/ReceiverSelector.java
@@ -16,7 +16,7 @@
 
 /**
  * Selects the peers that receive each gossip update.
- *
+ * <p>
  * Peers of the same data centre are near, because they use the same targets. In a small
  * fleet, all peers are near.
  */
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotFetcher.java
@@ -11,7 +11,7 @@
 
 /**
  * Receiving side of a snapshot transfer, for a process that cannot read the store itself.
- *
+ * <p>
  * Chunks may be lost, duplicated or reordered. All chunks must come from one process and
  * one revision; a later revision replaces an incomplete one, and an earlier one is
  * ignored. If the sender falls silent, the transfer starts again at another process. Not
@@ -67,7 +67,7 @@
 		sendRequests(now);
 	}
 
-	/** Stop the transfer, because the state was obtained elsewhere. */
+	/** Stop the transfer, because a snapshot was obtained elsewhere. */
 	public void stop() {
 		this.isActive = false;
 		this.partial = Optional.empty();
@@ -83,27 +83,27 @@
 		if (!this.isActive || !this.peers.get().contains(from)) {
 			return;
 		}
-		if (this.partial.filter((g) -> g.revision() >= chunk.revision()).isEmpty()) {
+		if (this.partial.filter((s) -> s.revision() >= chunk.revision()).isEmpty()) {
 			this.partial = Optional.of(new PartialSnapshot(from, chunk));
 		}
-		PartialSnapshot state = this.partial.get();
-		if (!state.add(from, chunk, now)) {
+		PartialSnapshot snapshot = this.partial.get();
+		if (!snapshot.add(from, chunk, now)) {
 			return;
 		}
-		if (state.isComplete()) {
-			complete(state);
+		if (snapshot.isComplete()) {
+			complete(snapshot);
 		}
-		else if (state.firstMissing() % SnapshotSender.WINDOW == 0) {
-			this.requests.accept(from, new SnapshotRequest(state.revision(), state.firstMissing()));
+		else if (snapshot.firstMissing() % SnapshotSender.WINDOW == 0) {
+			this.requests.accept(from, new SnapshotRequest(snapshot.revision(), snapshot.firstMissing()));
 		}
 	}
 
-	private void complete(PartialSnapshot state) {
+	private void complete(PartialSnapshot snapshot) {
 		this.partial = Optional.empty();
-		this.format.decode(state.bytes()).ifPresent((items) -> {
+		this.format.decode(snapshot.bytes()).ifPresent((items) -> {
 			this.isActive = false;
-			this.receiver
-				.accept(new Result(state.from(), new StoreSnapshot(state.revision(), state.ageMillis(), items)));
+			this.receiver.accept(
+					new Result(snapshot.from(), new StoreSnapshot(snapshot.revision(), snapshot.ageMillis(), items)));
 		});
 	}
 
@@ -111,10 +111,10 @@
 		if (!this.isActive) {
 			return;
 		}
-		this.partial = this.partial.filter((g) -> now - g.receivedAt() <= MAX_SILENCE_MILLIS);
+		this.partial = this.partial.filter((s) -> now - s.receivedAt() <= MAX_SILENCE_MILLIS);
 		if (this.partial.isPresent()) {
-			PartialSnapshot state = this.partial.get();
-			this.requests.accept(state.from(), new SnapshotRequest(state.revision(), state.firstMissing()));
+			PartialSnapshot snapshot = this.partial.get();
+			this.requests.accept(snapshot.from(), new SnapshotRequest(snapshot.revision(), snapshot.firstMissing()));
 		}
 		else {
 			this.peers.get()
@@ -127,9 +127,9 @@
 	 * A received snapshot.
 	 *
 	 * @param from the address of the sender
-	 * @param state the snapshot
+	 * @param snapshot the received items
 	 */
-	public record Result(String from, StoreSnapshot state) {
+	public record Result(String from, StoreSnapshot snapshot) {
 
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/SnapshotSender.java
@@ -8,7 +8,7 @@
 
 /**
  * Server side of a snapshot transfer, which sends the state of this process in chunks.
- *
+ * <p>
  * An encoded snapshot is reused for a short time, so that a receiver can fetch all chunks
  * of one revision while the state changes. Not thread-safe.
  *
--- a/laneworks-core/src/main/java/dev/laneworks/core/handover/StoreSnapshot.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/handover/StoreSnapshot.java
@@ -5,7 +5,7 @@
 import dev.laneworks.core.follow.StoreItem;
 
 /**
- * Snapshot of all items of a store, as one process knows them.
+ * Snapshot of all items of a store, as recorded by one process.
  *
  * @param revision the revision of the store
  * @param ageMillis the time since the process last received data of the store, in
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/HostAudit.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/HostAudit.java
@@ -20,7 +20,7 @@
 		this.sink = sink;
 	}
 
-	// Record an event that concerns the target as a whole.
+	// Record an event that concerns the target and no single generation.
 	void record(AuditKind kind, String cause) {
 		record(kind, this.target, cause);
 	}
--- a/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/host/KeyedRequests.java
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	 * Queue a keyed request, refuse it, or first ask former homes or the target about
+	 * Queue a keyed request, refuse it, or first query former homes or the target about
 	 * earlier requests with the key.
 	 * @param generation the generation of the request, with a reader and not yet in the
 	 * registry
--- a/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/inquiry/DrainingQuery.java
@@ -16,7 +16,7 @@
  * Queries engines directly whether they are draining, while the list of targets is
  * unavailable.
  * <p>
- * Without the list, a reclaim notice would go unnoticed and generations would end with
+ * Without the list, a reclaim notice would not be detected and generations would end with
  * their engines. Each engine is queried by one process, which notifies the others. A
  * failed query has no effect. An engine that does not report when it stops continues to
  * serve until the list is updated; its generations are not moved, since moving them from
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/KeyGuard.java
@@ -16,7 +16,7 @@
  * Decides whether a sidecar may run a keyed request of which it has no record.
  * <p>
  * Each key has one home, and there is no shared store. A ticket names the home and its
- * incarnation. Only that process may run the request, and its records cover the whole
+ * incarnation. Only that process may run the request, and its records cover the entire
  * lifetime of the ticket. The home of a key without a ticket is derived from the
  * published targets. It decides only while its view of the published targets is
  * confirmed, only if its records cover the retry window, and only after former homes have
@@ -41,7 +41,7 @@
 	/**
 	 * Create a guard.
 	 * @param target the name of the sidecar's target
-	 * @param incarnation the incarnation of the sidecar, never
+	 * @param incarnation the incarnation of the sidecar; must not be
 	 * {@link IdempotencyKey#NO_TICKET}
 	 * @param startedAt the start time of the sidecar in milliseconds
 	 * @param views the history of published targets
@@ -62,7 +62,7 @@
 	 * @param model the name of the model
 	 * @param holder the current configuration and its age
 	 * @param now the current time in milliseconds
-	 * @return whether to run, to ask others first or to refuse
+	 * @return whether to run, to query others first or to refuse
 	 */
 	public KeyDecision decide(IdempotencyKey key, String model, ConfigurationHolder holder, long now) {
 		if (key.hasTicket()) {
@@ -89,7 +89,7 @@
 	}
 
 	/**
-	 * Determine whether the records of this sidecar cover the whole time in which an
+	 * Determine whether the records of this sidecar cover the entire time in which an
 	 * earlier request with a key can have arrived.
 	 * @param configuration the current configuration
 	 * @param now the current time in milliseconds
--- a/laneworks-core/src/main/java/dev/laneworks/core/once/ViewHistory.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/once/ViewHistory.java
@@ -23,7 +23,7 @@
 	private final Deque<View> views = new ArrayDeque<>();
 
 	/**
-	 * Record the targets of a configuration that takes effect.
+	 * Record the targets of a configuration that becomes effective.
 	 * @param targets the published targets
 	 * @param now the current time in milliseconds
 	 */
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationExchange.java
@@ -8,7 +8,7 @@
 /**
  * Distributes configurations between peers by version notices and document requests.
  * <p>
- * A notice is sent to all peers when a configuration comes into force. In addition, one
+ * A notice is sent to all peers when a configuration becomes effective. In addition, one
  * side of each link sends periodic notices and the other side answers them. A process
  * with an older version requests the document from one peer. Reads of the platform's
  * service therefore do not grow with the fleet. Not thread-safe.
--- a/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/peer/ConfigurationKeeper.java
@@ -59,7 +59,7 @@
 	 * which a process that is not a watcher does not call the service
 	 * @param onDutyThread runs a task on the thread that owns this object and passes the
 	 * current time to it
-	 * @param onChange receives each configuration that comes into force
+	 * @param onChange receives each configuration that becomes effective
 	 * @param audit records decisions and their causes
 	 */
 	public ConfigurationKeeper(ConfigurationHolder holder, ConfigurationService service, Backoff backoff,
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenConnections.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/BrokenConnections.java
@@ -12,7 +12,7 @@
 
 /**
  * Requests whose connection broke, kept until it is known whether the target crashed.
- *
+ * <p>
  * A connection may also be reset by a live target or by the network; such a request does
  * not become suspect. Not thread-safe.
  *
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/CompletedRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/CompletedRequests.java
@@ -1,8 +1,8 @@
 package dev.laneworks.core.poison;
 
 /**
- * Fixed-size memory of requests that completed recently.
- *
+ * Fixed-size record of requests that completed recently.
+ * <p>
  * A request replaces an earlier one with the same slot.
  */
 final class CompletedRequests {
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/PoisonSettings.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/PoisonSettings.java
@@ -15,13 +15,14 @@
 
 	public PoisonSettings {
 		if (crashesToQuarantine < 1 || clearAfterMillis < 0 || quarantineMillis < 0) {
-			throw new IllegalArgumentException("endsToQuarantine must be at least 1 and no duration may be negative");
+			throw new IllegalArgumentException(
+					"crashesToQuarantine must be at least 1 and no duration may be negative");
 		}
 	}
 
 	/**
 	 * Return the default settings.
-	 *
+	 * <p>
 	 * Targets also crash for other causes, so that a single crash does not prove that a
 	 * request is poisoned. A poisoned request is expected to crash its engine early, so
 	 * that a generation that sends events for longer is cleared. The quarantine leaves
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/RequestDigest.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/RequestDigest.java
@@ -9,7 +9,7 @@
 /**
  * Digest of the content of a request and of its client account, identical in every
  * process.
- *
+ * <p>
  * Requests with the same account, host, path, query and body have the same digest,
  * whatever their ids, deadlines and other headers. The account is hashed separately, so
  * that no client can construct a request with the digest of another account.
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectGossip.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectGossip.java
@@ -18,7 +18,7 @@
 /**
  * Reports suspect requests to other entries, so that each entry need not lose targets of
  * its own to find them.
- *
+ * <p>
  * Observations of this entry are sent to all entries at once and repeated soon after and
  * in the next rounds. Each round also sends all reports to new entries and to a few
  * random ones, so that every entry receives them despite lost datagrams and the end of
@@ -72,7 +72,7 @@
 	private final Set<RequestDigest> unsent = new LinkedHashSet<>();
 
 	/** Observations that were sent, with the number of rounds that still repeat them. */
-	private final Map<RequestDigest, Integer> repeats = new LinkedHashMap<>();
+	private final Map<RequestDigest, Integer> remainingRounds = new LinkedHashMap<>();
 
 	private Set<String> previousEntries = Set.of();
 
@@ -99,9 +99,9 @@
 	 */
 	public void start(long now) {
 		List<String> all = this.entries.get();
-		send(all, reportsOf(this.repeats.keySet(), now));
-		this.repeats.replaceAll((d, rounds) -> rounds - 1);
-		this.repeats.values().removeIf((rounds) -> rounds == 0);
+		send(all, reportsOf(this.remainingRounds.keySet(), now));
+		this.remainingRounds.replaceAll((d, rounds) -> rounds - 1);
+		this.remainingRounds.values().removeIf((rounds) -> rounds == 0);
 		Set<String> receivers = new HashSet<>(all);
 		receivers.removeAll(this.previousEntries);
 		for (int i = 0; i < RANDOM_RECEIVERS && !all.isEmpty(); i++) {
@@ -130,7 +130,7 @@
 		Set<RequestDigest> observed = Set.copyOf(this.unsent);
 		this.unsent.clear();
 		send(this.entries.get(), reportsOf(observed, now));
-		observed.forEach((d) -> this.repeats.put(d, REPEAT_ROUNDS));
+		observed.forEach((d) -> this.remainingRounds.put(d, REPEAT_ROUNDS));
 		this.timers.schedule(now + FIRST_REPEAT_MILLIS, (t) -> send(this.entries.get(), reportsOf(observed, t)));
 	}
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/poison/SuspectRequests.java
@@ -14,7 +14,7 @@
 /**
  * Registry of requests during whose execution targets crashed, which quarantines them
  * after too many crashes.
- *
+ * <p>
  * A request is identified by its content and its client account, so that it is recognized
  * under another id. Crashes that other entries observed count as well. A completed
  * execution clears a request of all earlier crashes. Not thread-safe.
@@ -25,7 +25,7 @@
 
 	/**
 	 * The factor for the required crashes of a request that completed before, which may
-	 * be hit by unrelated crashes in a row if clients repeat it often.
+	 * be executing during several unrelated crashes if clients send it often.
 	 */
 	private static final int COMPLETED_FACTOR = 2;
 
--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/RetryBudget.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/RetryBudget.java
@@ -3,7 +3,7 @@
 /**
  * Token bucket that limits retries to a share of recent successes, so that an outage does
  * not multiply load.
- *
+ * <p>
  * Each success adds a fraction of a retry, and each retry uses one. A low rate refills
  * the budget in times of little traffic. Not thread-safe.
  *
--- a/laneworks-core/src/main/java/dev/laneworks/core/retry/TargetHealth.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/retry/TargetHealth.java
@@ -2,7 +2,7 @@
 
 /**
  * Outlier ejection of one target after consecutive failures.
- *
+ * <p>
  * An ejected target receives no requests. When the ejection period is over, a single
  * request is sent as a trial. Its success returns the target to service; its failure
  * starts a longer period. Not thread-safe.
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/DefaultTargetSelector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/DefaultTargetSelector.java
@@ -15,7 +15,7 @@
 /**
  * {@link TargetSelector} that selects by data centre, load and cached prefix among a
  * bounded subset of targets.
- *
+ * <p>
  * Data centres are tried in the order of the intent, followed by those that its spill
  * rule adds. Within a data centre, the less loaded of two random targets competes with
  * the target that the prefix of the prompt maps to. Random choice keeps entries with the
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/Rendezvous.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/Rendezvous.java
@@ -10,7 +10,7 @@
 
 /**
  * Rendezvous hashing, which ranks nodes for a key by highest random weight.
- *
+ * <p>
  * Every instance with the same nodes computes the same ranking. If a node is added or
  * removed, only the keys that map to it move.
  *
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetState.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetState.java
@@ -5,7 +5,7 @@
 
 /**
  * Recorded state of one target at an entry.
- *
+ * <p>
  * The latest load report becomes stale, so that requests sent since then are counted in
  * addition. Not thread-safe.
  *
--- a/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetSubset.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/routing/TargetSubset.java
@@ -7,7 +7,7 @@
 
 /**
  * Selects the bounded subset of targets that one entry uses for a model.
- *
+ * <p>
  * The subset is a pure function of the name of the entry and the published targets. It
  * contains up to a full share of targets in the data centre of the entry, and a smaller
  * share in each other data centre so that requests can spill.
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/AdaptiveTimeout.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/AdaptiveTimeout.java
@@ -1,10 +1,10 @@
 package dev.laneworks.core.time;
 
 /**
- * Adaptive timeout, computed from measured durations as in RFC 6298.
- *
+ * Adaptive timeout, computed from observed durations as in RFC 6298.
+ * <p>
  * The timeout is the smoothed duration plus four times its variation. Durations include
- * the delays of this process, so that a slow process does not take a peer for
+ * the delays of this process, so that a slow process does not consider a peer
  * unreachable. Not thread-safe.
  *
  * @since 0.2
@@ -31,7 +31,7 @@
 	private boolean hasDuration;
 
 	/**
-	 * Create a timeout without any measured duration.
+	 * Create a timeout without any recorded duration.
 	 * @param minMillis the shortest timeout, in milliseconds
 	 * @param maxMillis the longest timeout, in milliseconds, which also applies before
 	 * the first duration
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/PauseDetector.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/PauseDetector.java
@@ -2,7 +2,7 @@
 
 /**
  * Detects pauses of this process by gaps between its own heartbeats.
- *
+ * <p>
  * An event that is received right after a pause may have occurred at any time during it.
  * Code that measures a time from such an event determines the earliest possible time
  * here. Thread-safe.
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/SuspensionMeter.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/SuspensionMeter.java
@@ -7,7 +7,7 @@
 /**
  * Clock that adds the time for which the machine was suspended to the monotonic clock,
  * which excludes it.
- *
+ * <p>
  * Without it, data that became stale during a suspension would seem fresh. A jump of the
  * wall clock against the monotonic clock triggers a reading of a third clock, the boot
  * clock, which includes suspensions. The jump alone proves nothing, since the wall clock
@@ -29,7 +29,7 @@
 
 	/**
 	 * The longest time between the two readings of the monotonic clock around one of the
-	 * boot clock, in milliseconds. A delay of the thread between them would be taken for
+	 * boot clock, in milliseconds. A delay of the thread between them would be counted as
 	 * a suspension.
 	 */
 	private static final long MAX_READING_MILLIS = 5;
--- a/laneworks-core/src/main/java/dev/laneworks/core/time/Timers.java
+++ b/laneworks-core/src/main/java/dev/laneworks/core/time/Timers.java
@@ -5,7 +5,7 @@
 
 /**
  * Queue of tasks by due time, for code that does not read a clock.
- *
+ * <p>
  * A task cannot be cancelled and must itself determine whether it is still needed. Not
  * thread-safe.
  *
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/LimitedFleet.java
@@ -14,7 +14,7 @@
 
 /**
  * Simulation in virtual time of entries that share the rate limit of one target.
- *
+ * <p>
  * Each entry sends to the target whatever it may. The target advertises its limit in all
  * responses after the first second. Updates between entries are delayed and may be lost.
  */
@@ -163,7 +163,7 @@
 	 */
 	enum Sharing {
 
-		/** Each entry uses the whole limit. */
+		/** Each entry uses the full limit. */
 		WHOLE,
 
 		/** Equal shares. */
@@ -264,7 +264,7 @@
 			if (this.limits.waitMillis(LimitedFleet.this.target, at) > 0) {
 				return;
 			}
-			this.limits.sent(LimitedFleet.this.target, at);
+			this.limits.recordSent(LimitedFleet.this.target, at);
 			LimitedFleet.this.arrivals.add(at);
 			TargetRateLimits limitsAtSend = this.limits;
 			LimitedFleet.this.timers.schedule(at + RESPONSE_MILLIS, (t) -> handleResponse(limitsAtSend, at, t));
--- a/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetRateLimitsTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/backpressure/TargetRateLimitsTests.java
@@ -66,7 +66,7 @@
 	void requestsBeyondTheShareAreDeductedFromLaterPermits() {
 		report(4, 0);
 		for (int i = 0; i < 3; i++) {
-			this.limits.sent(this.target, 0);
+			this.limits.recordSent(this.target, 0);
 		}
 		assertThat(sentIn(0, 3_000, 10)).isEqualTo(0);
 		assertThat(sentIn(3_000, 8_000, 10)).isAtLeast(3);
@@ -178,7 +178,7 @@
 		int sent = 0;
 		for (long now = from; now < to; now += step) {
 			if (limitsToUse.waitMillis(this.target, now) <= 0) {
-				limitsToUse.sent(this.target, now);
+				limitsToUse.recordSent(this.target, now);
 				sent++;
 			}
 		}
--- a/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/directory/TargetDirectoryTests.java
@@ -87,8 +87,8 @@
 	}
 
 	/**
-	 * Guards against a late list entry of an ended target that takes its address back
-	 * from the current one, which would receive no requests.
+	 * Guards against a late list entry of an ended target that reclaims its address from
+	 * the current one, which would receive no requests.
 	 */
 	@Test
 	void aLateEntryOfAnEndedTargetDoesNotReplaceTheOneAtItsAddress() {
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/PoisonedFleet.java
@@ -115,7 +115,7 @@
 
 	/**
 	 * Run a fleet of four entries and 28 engines under twenty generations a second, with
-	 * three callers that repeat the same request.
+	 * three callers that send the same request again.
 	 * @param settings the thresholds of the quarantine
 	 * @param seed the random seed
 	 * @param millis the duration in milliseconds of virtual time
--- a/laneworks-core/src/test/java/dev/laneworks/core/dispatch/SharedRetryBudgetTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/dispatch/SharedRetryBudgetTests.java
@@ -18,17 +18,17 @@
 		for (int i = 0; i < 10; i++) {
 			budget.recordRequest("s", i);
 		}
-		assertThat(taken(budget, 20)).isEqualTo(5);
+		assertThat(countAcquired(budget, 20)).isEqualTo(5);
 	}
 
 	@Test
 	void limitHoldsInEverySlidingWindow() {
 		SharedRetryBudget budget = withoutOthers(0, 3);
-		int taken = 0;
+		int acquired = 0;
 		for (long now = 0; now < 9_900; now += 100) {
-			taken += budget.tryAcquire("s", now) ? 1 : 0;
+			acquired += budget.tryAcquire("s", now) ? 1 : 0;
 		}
-		assertThat(taken).isEqualTo(3);
+		assertThat(acquired).isEqualTo(3);
 		assertThat(budget.tryAcquire("s", 10_001)).isTrue();
 	}
 
@@ -44,19 +44,19 @@
 	void spendsMoreWhileFleetStaysBelowLimit() {
 		SharedRetryBudget budget = new SharedRetryBudget(10_000, 0, 1, 10,
 				(s, w, now) -> Optional.of(new RetryBudgetUsage(s, 0, 4)));
-		assertThat(taken(budget, 20)).isEqualTo(3);
+		assertThat(countAcquired(budget, 20)).isEqualTo(3);
 	}
 
 	private static SharedRetryBudget withoutOthers(double ratio, double fixed) {
 		return new SharedRetryBudget(10_000, ratio, fixed, fixed, (s, w, now) -> Optional.empty());
 	}
 
-	private static int taken(SharedRetryBudget budget, int tries) {
-		int taken = 0;
+	private static int countAcquired(SharedRetryBudget budget, int tries) {
+		int acquired = 0;
 		for (int i = 0; i < tries; i++) {
-			taken += budget.tryAcquire("s", 100) ? 1 : 0;
+			acquired += budget.tryAcquire("s", 100) ? 1 : 0;
 		}
-		return taken;
+		return acquired;
 	}
 
 }
--- a/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/follow/LargeItemSimulation.java
@@ -16,8 +16,8 @@
  * link of fixed bandwidth, and it writes one large item and a steady series of small
  * ones.
  * <p>
- * Every process receives each small change at once as an update from another process. The
- * large one is not sent, since it exceeds a datagram.
+ * Every process receives each small change immediately as an update from another process.
+ * The large one is not sent, since it exceeds a datagram.
  */
 final class LargeItemSimulation {
 
--- a/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/gossip/GossipTests.java
@@ -123,8 +123,8 @@
 		this.gossip.handleUpdate("10.0.0.3:7200", three, 0);
 		this.gossip.handleUpdate("10.0.0.2:7200", new LoadUpdate("two", "z", 2, 2, true, false, 1_000, List.of(),
 				List.of(), BackpressureUpdate.NONE, List.of()), 100);
-		assertThat(this.gossip.budgetUsageOfOthers("s", 10_000, 5_000).get().repeats()).isEqualTo(8);
-		assertThat(this.gossip.budgetUsageOfOthers("s", 10_000, 10_001).get().repeats()).isEqualTo(4);
+		assertThat(this.gossip.budgetUsageOfOthers("s", 10_000, 5_000).get().retries()).isEqualTo(8);
+		assertThat(this.gossip.budgetUsageOfOthers("s", 10_000, 10_001).get().retries()).isEqualTo(4);
 	}
 
 	@Test
--- a/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/handover/StateHandoverTests.java
@@ -36,10 +36,10 @@
 
 	private boolean isServerSilent;
 
-	private final SnapshotSender server = new SnapshotSender((t) -> this.snapshot, new TextForm());
+	private final SnapshotSender server = new SnapshotSender((t) -> this.snapshot, new TextFormat());
 
-	private final SnapshotFetcher fetcher = new SnapshotFetcher(new TextForm(), () -> List.of(A, B), this::sendRequest,
-			this.results::add, this.timers);
+	private final SnapshotFetcher fetcher = new SnapshotFetcher(new TextFormat(), () -> List.of(A, B),
+			this::sendRequest, this.results::add, this.timers);
 
 	private long now;
 
@@ -62,7 +62,7 @@
 			arriving.stream().filter((s) -> random.nextInt(3) > 0).forEach(this::deliver);
 			passTime(SnapshotFetcher.REQUEST_MILLIS);
 		}
-		assertThat(this.results.stream().map(Result::state).toList()).containsExactly(this.snapshot.get());
+		assertThat(this.results.stream().map(Result::snapshot).toList()).containsExactly(this.snapshot.get());
 	}
 
 	@Test
@@ -86,7 +86,7 @@
 		List<Sent> delayed = List.copyOf(this.inTransit);
 		this.inTransit.clear();
 		StoreSnapshot later = state(101, 20_000);
-		SnapshotSender other = new SnapshotSender((t) -> Optional.of(later), new TextForm());
+		SnapshotSender other = new SnapshotSender((t) -> Optional.of(later), new TextFormat());
 		other.answer(new SnapshotRequest(SnapshotRequest.ANY_REVISION, 0), 0)
 			.forEach((p) -> this.inTransit.add(new Sent(B, p)));
 		deliver(this.inTransit.remove(0));
@@ -158,7 +158,7 @@
 	/**
 	 * Encodes one item per line.
 	 */
-	private static final class TextForm implements SnapshotFormat {
+	private static final class TextFormat implements SnapshotFormat {
 
 		@Override
 		public byte[] encode(List<StoreItem> items) {
--- a/laneworks-core/src/test/java/dev/laneworks/core/retry/RetryTests.java
+++ b/laneworks-core/src/test/java/dev/laneworks/core/retry/RetryTests.java
@@ -15,25 +15,25 @@
 	@Test
 	void budgetLimitsRetriesToAShareOfSuccesses() {
 		RetryBudget budget = new RetryBudget(0.1, 0, 5);
-		int taken = 0;
+		int acquired = 0;
 		for (int i = 0; i < 1_000; i++) {
 			budget.recordSuccess();
-			taken += budget.tryAcquire(0) ? 1 : 0;
+			acquired += budget.tryAcquire(0) ? 1 : 0;
 		}
-		assertThat(taken).isAtMost(5 + 100);
-		assertThat(taken).isAtLeast(100);
+		assertThat(acquired).isAtMost(5 + 100);
+		assertThat(acquired).isAtLeast(100);
 	}
 
 	@Test
 	void budgetIsExhaustedInAnOutage() {
 		RetryBudget budget = new RetryBudget(0.1, 1, 5);
-		int taken = 0;
+		int acquired = 0;
 		for (int second = 0; second < 60; second++) {
 			for (int i = 0; i < 100; i++) {
-				taken += budget.tryAcquire(second * 1_000L) ? 1 : 0;
+				acquired += budget.tryAcquire(second * 1_000L) ? 1 : 0;
 			}
 		}
-		assertThat(taken).isAtMost(5 + 60);
+		assertThat(acquired).isAtMost(5 + 60);
 	}
 
 	@Test
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SnapshotTransfer.java
@@ -74,7 +74,7 @@
 	}
 
 	private void useSnapshot(SnapshotFetcher.Result result) {
-		StoreSnapshot snapshot = result.state();
+		StoreSnapshot snapshot = result.snapshot();
 		this.audit.record(AuditEvent.of(AuditKind.CONFIGURATION_SERVICE, "store", "",
 				"unreachable; adopted revision " + StorePosition.of(snapshot.revision()) + " from " + result.from()
 						+ ", " + snapshot.ageMillis() + " ms old"));
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LoadUpdateCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LoadUpdateCodec.java
@@ -63,7 +63,7 @@
 		return Protocol.ServiceSpending.newBuilder()
 			.setService(usage.service())
 			.setRequests(usage.requests())
-			.setRepeats(usage.repeats())
+			.setRepeats(usage.retries())
 			.build();
 	}
 
