--- a/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCluster.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/fuzz/FakeCluster.java
@@ -243,9 +243,9 @@
 		this.oracle.recordCall(call);
 		this.entriesByCall.put(call, entry);
 		byte[] body = String.valueOf(tokens).getBytes(StandardCharsets.UTF_8);
-		SidecarRequest work = new SidecarRequest(requestId, OperationKind.COMPLETION, ACCOUNT, MODEL, "POST", "/", body,
-				priority, repeatable, key, 1, 100_000, FIRST_TOKEN_TIMEOUT_MILLIS);
-		CallRequest request = new CallRequest(work, INTENT, 0, ticketTarget, true);
+		SidecarRequest sidecarRequest = new SidecarRequest(requestId, OperationKind.COMPLETION, ACCOUNT, MODEL, "POST",
+				"/", body, priority, repeatable, key, 1, 100_000, FIRST_TOKEN_TIMEOUT_MILLIS);
+		CallRequest request = new CallRequest(sidecarRequest, INTENT, 0, ticketTarget, true);
 		entry.run(() -> entry.open(call, request));
 	}
 
@@ -292,9 +292,9 @@
 		call.reconnect();
 		FakeEntry entry = this.entries[wrapIndex(entryIndex, ENTRIES)];
 		this.entriesByCall.put(call, entry);
-		SidecarRequest work = new SidecarRequest("back", OperationKind.COMPLETION, ACCOUNT, "", "", "", new byte[0], 0,
-				false, Optional.empty(), 0, 1, 0);
-		CallRequest request = new CallRequest(work, INTENT, 0, Optional.empty(), true);
+		SidecarRequest sidecarRequest = new SidecarRequest("back", OperationKind.COMPLETION, ACCOUNT, "", "", "",
+				new byte[0], 0, false, Optional.empty(), 0, 1, 0);
+		CallRequest request = new CallRequest(sidecarRequest, INTENT, 0, Optional.empty(), true);
 		entry.run(() -> entry.resume(call, request, position.get()));
 	}
 
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Baselines.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Baselines.java
@@ -11,7 +11,7 @@
 	private Baselines() {
 	}
 
-	// Assign requests to engines in turn and start each at once.
+	// Assign requests to engines round-robin and start each at once.
 	static Policy roundRobin(Replay replay) {
 		return new CountingPolicy(replay, Integer.MAX_VALUE, true);
 	}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/PolicyMetrics.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/PolicyMetrics.java
@@ -120,7 +120,7 @@
 		double high = this.requestedTokens.values().stream().mapToLong(Long::longValue).max().orElse(1);
 		for (int i = 0; i < 60; i++) {
 			double limit = (low + high) / 2;
-			double sum = this.requestedTokens.values().stream().mapToDouble((w) -> Math.min(w, limit)).sum();
+			double sum = this.requestedTokens.values().stream().mapToDouble((t) -> Math.min(t, limit)).sum();
 			if (sum > this.totalTokens) {
 				high = limit;
 			}
--- a/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Replay.java
+++ b/laneworks-bench/src/main/java/dev/laneworks/bench/policy/Replay.java
@@ -87,7 +87,8 @@
 	}
 
 	/**
-	 * Listener of one engine that updates the metrics and notifies the policy.
+	 * Listener for the events of one engine that updates the metrics and notifies the
+	 * policy.
 	 */
 	private final class Listener implements EngineListener {
 
@@ -105,8 +106,8 @@
 		}
 
 		@Override
-		public void onEnd(String name, int total, boolean limitReached, long atMicros) {
-			Replay.this.policy.handleEnd(this.engine, Integer.parseInt(name), total, atMicros / 1000);
+		public void onEnd(String name, int tokenCount, boolean limitReached, long atMicros) {
+			Replay.this.policy.handleEnd(this.engine, Integer.parseInt(name), tokenCount, atMicros / 1000);
 		}
 
 		@Override
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/caller/RequestReader.java
@@ -115,14 +115,16 @@
 		object.put("stream", true);
 		byte[] targetBody = object.toString().getBytes(StandardCharsets.UTF_8);
 		String path = (kind == OperationKind.CHAT) ? "/v1/chat/completions" : "/v1/completions";
-		return readIdempotency(exchange, account).flatMap((o) -> callerTimeout(exchange).map((p) -> {
-			boolean repeatable = o.key().isEmpty() && intent.get().repeatable();
-			SidecarRequest work = new SidecarRequest(createRequestId(), kind, account.name(), model, "POST", path,
-					targetBody, intent.get().priority(), repeatable, o.key(),
-					Math.max(1, prompt.length() / CHARS_PER_TOKEN), maxTokens, p);
-			CallRequest request = new CallRequest(work, intent.get(), prefixHash(prompt), o.ticketTarget(), stream);
-			return new GenerationRequest(request, stream);
-		}));
+		return readIdempotency(exchange, account)
+			.flatMap((idempotency) -> callerTimeout(exchange).map((timeoutMillis) -> {
+				boolean repeatable = idempotency.key().isEmpty() && intent.get().repeatable();
+				SidecarRequest sidecarRequest = new SidecarRequest(createRequestId(), kind, account.name(), model,
+						"POST", path, targetBody, intent.get().priority(), repeatable, idempotency.key(),
+						Math.max(1, prompt.length() / CHARS_PER_TOKEN), maxTokens, timeoutMillis);
+				CallRequest request = new CallRequest(sidecarRequest, intent.get(), prefixHash(prompt),
+						idempotency.ticketTarget(), stream);
+				return new GenerationRequest(request, stream);
+			}));
 	}
 
 	Either<Refusal, CallRequest> service(HttpServerExchange exchange, byte[] body, String name, String path,
@@ -135,12 +137,14 @@
 		}
 		String method = exchange.getRequestMethod().toString();
 		String query = exchange.getQueryString().isEmpty() ? "" : '?' + exchange.getQueryString();
-		return readIdempotency(exchange, account).flatMap((o) -> callerTimeout(exchange).map((p) -> {
-			boolean repeatable = o.key().isEmpty() && service.get().isRepeatable(method, path);
-			SidecarRequest request = new SidecarRequest(createRequestId(), OperationKind.SERVICE, account.name(), name,
-					method, path + query, body, intent.get().priority(), repeatable, o.key(), 0, 1, p);
-			return new CallRequest(request, intent.get(), 0, o.ticketTarget(), false);
-		}));
+		return readIdempotency(exchange, account)
+			.flatMap((idempotency) -> callerTimeout(exchange).map((timeoutMillis) -> {
+				boolean repeatable = idempotency.key().isEmpty() && service.get().isRepeatable(method, path);
+				SidecarRequest request = new SidecarRequest(createRequestId(), OperationKind.SERVICE, account.name(),
+						name, method, path + query, body, intent.get().priority(), repeatable, idempotency.key(), 0, 1,
+						timeoutMillis);
+				return new CallRequest(request, intent.get(), 0, idempotency.ticketTarget(), false);
+			}));
 	}
 
 	static CallRequest resumedRequest(String account) {
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectEntry.java
@@ -111,7 +111,7 @@
 
 	private final TargetEstimates estimates;
 
-	private final SharedRetryBudget retries;
+	private final SharedRetryBudget retryBudget;
 
 	private final PeerEntries peers;
 
@@ -185,9 +185,9 @@
 		PlatformAdapter adapter = platform.create(settings, http, thread);
 		DirectCalls calls = new DirectCalls(this.loop, http, adapter.headers(), adapter.engines(),
 				new CallLatencyMetrics(this.metrics));
-		this.retries = new SharedRetryBudget(settings.retryWindowMillis(), settings.retryRatio(),
+		this.retryBudget = new SharedRetryBudget(settings.retryWindowMillis(), settings.retryRatio(),
 				settings.ownRetryExtra(1), settings.retryExtra(), this::peerBudgetUsage);
-		this.peers = new PeerEntries(settings, this.estimates, this.retries, this.loop, random, this.audit);
+		this.peers = new PeerEntries(settings, this.estimates, this.retryBudget, this.loop, random, this.audit);
 		this.cold = new ColdTargets(settings.coldBound(), this.peers, this::coldPerSecond, this.audit);
 		this.suspects = new SuspectTracking(this.peers, this.loop, random, this.audit);
 		TargetRateLimits limits = new TargetRateLimits(
@@ -205,8 +205,8 @@
 		TargetChooser chooser = new TargetChooser(eligibility, this.estimates, settings.dataCentre(), random,
 				settings.mechanisms());
 		this.dispatcher = new Dispatcher(DispatchSettings.defaults(settings.mechanisms()), this.directory,
-				this.estimates, eligibility, chooser, this.peers, this.peers, this.suspects.requests(), this.retries,
-				timers, calls, this.audit);
+				this.estimates, eligibility, chooser, this.peers, this.peers, this.suspects.requests(),
+				this.retryBudget, timers, calls, this.audit);
 		calls.use(this.dispatcher);
 		this.suspects.use(this.dispatcher);
 		members.use(this.dispatcher, this.store);
@@ -214,7 +214,7 @@
 		this.peers.useSnapshotTransfer(this.snapshots);
 		this.drainingQuery = new EngineDrainingQuery(this.store, this.peers, this.estimates, adapter.engines(),
 				this.loop, this.audit);
-		this.peers.onStoreUpdate((n) -> this.store.follower().updateReceived(n, this.loop.now()));
+		this.peers.onStoreUpdate((u) -> this.store.follower().updateReceived(u, this.loop.now()));
 		this.resumeGate = new ResumeGate(this.store.follower()::ageMillis);
 		this.loop.onPause(this::paused);
 		this.callers = new DirectServer(this.io, settings.callers(), calls, adapter.headers(),
@@ -229,8 +229,7 @@
 	 * @return the exit code of the process
 	 */
 	public ExitCode run() {
-		// Started in the order in which callers need it: the listener, the plan, the
-		// rest.
+		// Listener and plan are started first, since callers depend on them.
 		this.callers.listen();
 		this.loop.run(() -> this.store.follower().start(this.loop.now()));
 		this.readiness.start();
@@ -368,7 +367,7 @@
 		MonotonicClock.detectSuspension();
 		this.gauges = collectGauges(this.loop.now());
 		this.recentEntryCount = Math.max(this.peers.count() + 1, this.recentEntryCount - 1);
-		this.retries.setLimits(this.activeSettings.retryRatio(),
+		this.retryBudget.setLimits(this.activeSettings.retryRatio(),
 				this.activeSettings.ownRetryExtra(this.recentEntryCount));
 		this.loop.timers().schedule(this.loop.now() + RETRY_SHARE_INTERVAL_MILLIS, (t) -> updateRetryShare());
 	}
@@ -380,7 +379,7 @@
 				this.store.follower().behindMillis(now));
 	}
 
-	// Requests that arrive during the start stay unread until the plan is there, since
+	// Requests that arrive during the start stay unread until the plan is active, since
 	// callers retry at most once. The wait is bounded, so that callers do not time out.
 	private void pollPlan(long startedAt) {
 		long now = this.loop.now();
@@ -404,7 +403,7 @@
 		boolean isGraceOver = now - since >= this.settings.graceMillis() - EXIT_MARGIN_MILLIS;
 		if (isGraceOver || (isIdle && now - since >= BALANCER_DRAIN_MILLIS)) {
 			try {
-				this.peers.end(now);
+				this.peers.shutDown(now);
 			}
 			finally {
 				this.ended.countDown();
@@ -424,7 +423,7 @@
 	}
 
 	private OptionalLong ownRequests(String service, long now) {
-		return this.retries.usage(now)
+		return this.retryBudget.usage(now)
 			.stream()
 			.filter((s) -> s.service().equals(service))
 			.mapToLong(RetryBudgetUsage::requests)
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/DirectServer.java
@@ -231,7 +231,7 @@
 		}, (e, ex) -> {
 			e.setPersistent(false);
 			refuse(request, (ex instanceof RequestTooBigException) ? tooLarge(admitted.limits())
-					: Refusal.permanent(RefusalReason.BAD_REQUEST, "the body can't be read: " + ex.getMessage()));
+					: Refusal.permanent(RefusalReason.BAD_REQUEST, "the body cannot be read: " + ex.getMessage()));
 		});
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineDrainingQuery.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/EngineDrainingQuery.java
@@ -38,8 +38,8 @@
 		this.engines = engines;
 		this.loop = loop;
 		this.audit = audit;
-		this.query = new DrainingQuery(store.follower()::isSilent, (e) -> peers.asksIn(e.dataCentre()), this::engines,
-				this, loop.timers());
+		this.query = new DrainingQuery(store.follower()::isSilent, (e) -> peers.isProberFor(e.dataCentre()),
+				this::engines, this, loop.timers());
 		peers.onDraining(store.directory()::drainingReported);
 	}
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/GracefulShutdown.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/GracefulShutdown.java
@@ -75,7 +75,7 @@
 	/**
 	 * Determine whether a request can be accepted.
 	 * @param route the route of the request
-	 * @param size the work for an engine; empty for a plain service
+	 * @param size the size of the generation; empty for a plain service
 	 * @param now the current time in milliseconds of the monotonic clock
 	 * @return {@code false} if the process is likely to end before the answer is complete
 	 */
@@ -91,7 +91,7 @@
 		if (route.kind() != RequestKind.STREAMING) {
 			return GOALS_PER_ANSWER * route.goalMillis();
 		}
-		return route.goalMillis() + size.map((w) -> MAX_TOKEN_MILLIS * w.maxTokens()).orElse(route.timeoutMillis());
+		return route.goalMillis() + size.map((s) -> MAX_TOKEN_MILLIS * s.maxTokens()).orElse(route.timeoutMillis());
 	}
 
 }
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/PeerEntries.java
@@ -52,7 +52,7 @@
 
 	private final TargetEstimates estimates;
 
-	private final SharedRetryBudget retries;
+	private final SharedRetryBudget retryBudget;
 
 	private final EventLoop loop;
 
@@ -63,7 +63,7 @@
 	/** Addresses at which entries may receive gossip. */
 	private final Set<String> seeds;
 
-	private Consumer<StoreUpdate> storeUpdateListener = (n) -> {
+	private Consumer<StoreUpdate> storeUpdateListener = (u) -> {
 	};
 
 	private Consumer<TargetIncarnation> drainingListener = (t) -> {
@@ -81,28 +81,28 @@
 	/** Opened by the main thread before anything is sent on the I/O thread. */
 	private volatile GossipSocket socket;
 
-	PeerEntries(DirectSettings settings, TargetEstimates estimates, SharedRetryBudget retries, EventLoop loop,
+	PeerEntries(DirectSettings settings, TargetEstimates estimates, SharedRetryBudget retryBudget, EventLoop loop,
 			RandomGenerator random, AuditSink audit) {
 		this.mechanisms = settings.mechanisms();
 		this.ownAddress = addressText(settings.gossipAddress());
 		this.estimates = estimates;
-		this.retries = retries;
+		this.retryBudget = retryBudget;
 		this.loop = loop;
 		this.seeds = seeds(settings);
 		this.gossip = new Gossip(GossipSettings.defaults(), settings.instance(), settings.dataCentre(), this.ownAddress,
 				this.seeds, this, loop.timers(), random, audit);
 		this.watch = new SharedWatch(settings.instance(), settings.dataCentre(), this::sharingPeers,
-				(n) -> sendStoreUpdate(this.gossip.nearAddresses(), n), (n) -> sendStoreUpdate(
-						this.gossip.topOfOtherDataCentres(SharedWatch.RECEIVERS_PER_GROUP, SharedWatch::rank), n));
+				(u) -> sendStoreUpdate(this.gossip.nearAddresses(), u), (u) -> sendStoreUpdate(
+						this.gossip.topOfOtherDataCentres(SharedWatch.RECEIVERS_PER_GROUP, SharedWatch::rank), u));
 		if (this.mechanisms.isEnabled(Mechanism.ENTRY_NEWS)) {
-			estimates
-				.onChange((target, change) -> this.gossip.workChanged(target.incarnation(), reach(change), loop.now()));
+			estimates.onChange(
+					(target, change) -> this.gossip.workChanged(target.incarnation(), updateScope(change), loop.now()));
 		}
 	}
 
-	// Started work is announced widely: with the regular gossip interval, entries of
+	// Started requests are announced widely: with the regular gossip interval, entries of
 	// other data centres would all select the same idle engine meanwhile.
-	private static UpdateScope reach(TargetEstimates.Change change) {
+	private static UpdateScope updateScope(TargetEstimates.Change change) {
 		return switch (change) {
 			case URGENT -> UpdateScope.INVOLVED;
 			case LEAVING -> UpdateScope.ALL;
@@ -145,7 +145,8 @@
 		this.storeUpdateListener = listener;
 	}
 
-	// Set the listener for requests that targets crashed under at other entries.
+	// Set the listener for other entries' reports of requests during whose execution
+	// targets crashed.
 	void onSuspect(Consumer<SuspectReport> listener) {
 		this.suspectListener = listener;
 	}
@@ -155,7 +156,7 @@
 		return this.gossip.addresses();
 	}
 
-	// The socket is open by then: no other entry is known before.
+	// The socket is open by then, since no other entry is known before.
 	void reportSuspects(Collection<String> addresses, List<SuspectReport> reports) {
 		this.socket.sendSuspects(addresses.stream().map(PeerEntries::socketAddress).toList(), reports);
 	}
@@ -166,12 +167,12 @@
 		}
 	}
 
-	void end(long now) {
+	void shutDown(long now) {
 		this.gossip.shutDown(now);
 	}
 
 	// Determine whether this entry is the one that polls the engines of a data centre.
-	boolean asksIn(String dataCentre) {
+	boolean isProberFor(String dataCentre) {
 		return this.gossip.isProber(dataCentre, SharedWatch::rank, this.loop.now());
 	}
 
@@ -250,12 +251,12 @@
 
 	@Override
 	public void signalsReceived(BackpressureUpdate signals) {
-		this.backpressure.ifPresent((n) -> n.recordGossiped(signals, this.listed, this.loop.now()));
+		this.backpressure.ifPresent((b) -> b.recordGossiped(signals, this.listed, this.loop.now()));
 	}
 
 	@Override
 	public BackpressureUpdate signals() {
-		return this.backpressure.map((n) -> n.signals(this.loop.now())).orElse(BackpressureUpdate.NONE);
+		return this.backpressure.map((b) -> b.signals(this.loop.now())).orElse(BackpressureUpdate.NONE);
 	}
 
 	@Override
@@ -265,7 +266,7 @@
 
 	@Override
 	public List<RetryBudgetUsage> ownBudgetUsage() {
-		return this.retries.usage(this.loop.now());
+		return this.retryBudget.usage(this.loop.now());
 	}
 
 	private static Set<String> seeds(DirectSettings settings) {
@@ -321,8 +322,8 @@
 		@Override
 		public void snapshotRequested(String from, SnapshotRequest request) {
 			PeerEntries.this.loop.run(() -> PeerEntries.this.snapshots.stream()
-				.flatMap((h) -> h.answer(request, PeerEntries.this.loop.now()).stream())
-				.forEach((p) -> PeerEntries.this.socket.send(socketAddress(from), p)));
+				.flatMap((s) -> s.answer(request, PeerEntries.this.loop.now()).stream())
+				.forEach((c) -> PeerEntries.this.socket.send(socketAddress(from), c)));
 		}
 
 		@Override
@@ -333,7 +334,7 @@
 		@Override
 		public void chunkReceived(String from, SnapshotChunk chunk) {
 			PeerEntries.this.loop.run(() -> PeerEntries.this.snapshots
-				.ifPresent((h) -> h.received(from, chunk, PeerEntries.this.loop.now())));
+				.ifPresent((s) -> s.received(from, chunk, PeerEntries.this.loop.now())));
 		}
 
 	}
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/RequestMetadata.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/RequestMetadata.java
@@ -12,7 +12,7 @@
  * @param key the key of the client account; empty if the request has none
  * @param callerTimeoutMillis the time for which the caller waits, in milliseconds; empty
  * if not stated
- * @param size the work for an engine; empty for a plain service
+ * @param size the size of the generation; empty for a plain service
  * @since 0.2
  */
 public record RequestMetadata(String id, Optional<String> key, Optional<Long> callerTimeoutMillis,
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/direct/SuspectTracking.java
@@ -15,8 +15,8 @@
 import dev.laneworks.core.poison.SuspectRequests;
 
 /**
- * Tracking of requests under which targets crash, shared with the other entries. Used on
- * the I/O thread alone.
+ * Tracking of requests during whose execution targets crash, shared with the other
+ * entries. Used on the I/O thread alone.
  */
 final class SuspectTracking implements SuspectListener {
 
--- a/laneworks-entry/src/main/java/dev/laneworks/entry/explain/LoggedEvent.java
+++ b/laneworks-entry/src/main/java/dev/laneworks/entry/explain/LoggedEvent.java
@@ -8,7 +8,7 @@
 import dev.laneworks.runtime.http.JsonText;
 
 /**
- * One parsed log line with the members that a {@link RequestTimeline} needs.
+ * One parsed log line with the members that a {@link RequestTimeline} reads.
  *
  * @param time the time of the event by the clock of its instance
  * @param instance the instance that logged the event
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipSimulation.java
@@ -375,9 +375,9 @@
 		final Map<String, Integer> joined = new HashMap<>();
 
 		/** Number of join events per incarnation of a target. */
-		final Map<TargetIncarnation, Integer> runsJoined = new HashMap<>();
+		final Map<TargetIncarnation, Integer> joinedIncarnations = new HashMap<>();
 
-		final Set<String> takingWork = new HashSet<>();
+		final Set<String> acceptingRequests = new HashSet<>();
 
 		/** The data centres that are evacuated according to received events. */
 		final Set<String> evacuated = new TreeSet<>();
@@ -405,8 +405,8 @@
 			this.name = name;
 			this.dataCentre = dataCentre;
 			this.watch = new SharedWatch(name, dataCentre, this::others,
-					(n) -> MembershipSimulation.this.sendToDataCentre(this, n),
-					(n) -> MembershipSimulation.this.sendToOtherDataCentres(this, n));
+					(u) -> MembershipSimulation.this.sendToDataCentre(this, u),
+					(u) -> MembershipSimulation.this.sendToOtherDataCentres(this, u));
 			this.source = new Source(this);
 			this.store = new StoreView(this.source, SETTINGS, this, this, (p) -> {
 			}, this.watch, MembershipSimulation.this.timers, MembershipSimulation.this.random.split(),
@@ -432,9 +432,9 @@
 
 		// Return the start time of the known incarnation of each target.
 		Map<String, Long> knownStarts() {
-			Map<String, Long> runs = new TreeMap<>();
-			this.store.directory().all().forEach((t) -> runs.put(t.id(), t.startMillis().orElse(-1)));
-			return runs;
+			Map<String, Long> startTimes = new TreeMap<>();
+			this.store.directory().all().forEach((t) -> startTimes.put(t.id(), t.startMillis().orElse(-1)));
+			return startTimes;
 		}
 
 		private int others() {
@@ -475,18 +475,18 @@
 		@Override
 		public void joined(ListedTarget target) {
 			this.joined.merge(target.id(), 1, Integer::sum);
-			this.runsJoined.merge(target.incarnation(), 1, Integer::sum);
-			this.takingWork.add(target.id());
+			this.joinedIncarnations.merge(target.incarnation(), 1, Integer::sum);
+			this.acceptingRequests.add(target.id());
 		}
 
 		@Override
 		public void draining(ListedTarget target, DrainingCause cause) {
-			this.takingWork.remove(target.id());
+			this.acceptingRequests.remove(target.id());
 		}
 
 		@Override
 		public void gone(ListedTarget target) {
-			this.takingWork.remove(target.id());
+			this.acceptingRequests.remove(target.id());
 		}
 
 	}
@@ -634,8 +634,8 @@
 	private static final class SynchronousWork implements BackgroundExecutor {
 
 		@Override
-		public <T> void submit(Supplier<T> work, Consumer<T> receiver) {
-			receiver.accept(work.get());
+		public <T> void submit(Supplier<T> task, Consumer<T> receiver) {
+			receiver.accept(task.get());
 		}
 
 	}
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MembershipTests.java
@@ -55,7 +55,7 @@
 		simulation.storeUp();
 		simulation.advance(CONVERGENCE_MILLIS);
 		assertThat(simulation.entries.get(0).knownIds()).containsExactly("b");
-		assertThat(simulation.entries.get(0).takingWork).containsExactly("b");
+		assertThat(simulation.entries.get(0).acceptingRequests).containsExactly("b");
 	}
 
 	@Test
@@ -129,7 +129,7 @@
 
 	/**
 	 * Guards against treating a restarted target as its former incarnation, whatever the
-	 * wall clock of its instance says.
+	 * wall clock of its instance shows.
 	 */
 	@Test
 	void incarnationsConvergeAfterAnySequenceOfFaults() {
@@ -171,7 +171,7 @@
 		simulation.restoreFromBackup();
 		for (int i = 0; i < 60; i++) {
 			simulation.advance(50);
-			simulation.entries.forEach((e) -> assertThat(e.takingWork).containsExactly("a", "late"));
+			simulation.entries.forEach((e) -> assertThat(e.acceptingRequests).containsExactly("a", "late"));
 			simulation.entries.forEach((e) -> assertThat(e.evacuated).containsExactly("dc9"));
 			simulation.entries.forEach((e) -> assertThat(e.joined).doesNotContainEntry("gone", 2));
 		}
@@ -284,14 +284,16 @@
 				assertWithMessage("seed %s, entry %s, runs", this.seed, entry.name).that(entry.knownStarts())
 					.isEqualTo(this.simulation.listedStarts());
 				if (this.restartsTargets) {
-					assertWithMessage("seed %s, entry %s, taking work", this.seed, entry.name).that(entry.takingWork)
+					assertWithMessage("seed %s, entry %s, accepting requests", this.seed, entry.name)
+						.that(entry.acceptingRequests)
 						.isEqualTo(this.simulation.listedTakingWork());
 				}
 				if (!this.hasLapsedTargets) {
-					entry.runsJoined.forEach((incarnation, times) -> assertWithMessage("seed %s, entry %s, %s joined",
-							this.seed, entry.name, incarnation)
-						.that(times)
-						.isEqualTo(1));
+					entry.joinedIncarnations
+						.forEach((incarnation, times) -> assertWithMessage("seed %s, entry %s, %s joined", this.seed,
+								entry.name, incarnation)
+							.that(times)
+							.isEqualTo(1));
 				}
 				if (!this.hasLapsedTargets && !this.restartsTargets) {
 					entry.joined.forEach(
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MissedStoreUpdateTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/MissedStoreUpdateTests.java
@@ -6,7 +6,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 /**
- * Simulation tests that an entry which was cut off from the store learns soon which
+ * Simulation tests that an entry which was disconnected from the store soon detects which
  * updates it missed. Guards against sending requests to a target that was removed
  * meanwhile.
  */
--- a/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
+++ b/laneworks-entry/src/test/java/dev/laneworks/entry/direct/PlanAndTargetsTests.java
@@ -253,19 +253,19 @@
 		return new StoreItem("servers/" + id, value);
 	}
 
-	/** Background work that runs when the test requests it. */
+	/** Executor whose background tasks run when the test requests it. */
 	private final class DeferredWork implements BackgroundExecutor {
 
 		@Override
-		public <T> void submit(Supplier<T> work, Consumer<T> receiver) {
-			PlanAndTargetsTests.this.pendingWork.add(() -> receiver.accept(work.get()));
+		public <T> void submit(Supplier<T> task, Consumer<T> receiver) {
+			PlanAndTargetsTests.this.pendingWork.add(() -> receiver.accept(task.get()));
 		}
 
 	}
 
 	/**
 	 * Source with plans of the form {@code VERSION SERVICE...} and targets of the form
-	 * {@code SERVICE HOST [leaving]}. A question mark is unreadable.
+	 * {@code SERVICE HOST [leaving]}. A question mark stands for an unreadable value.
 	 */
 	private static final class Plans implements ConfigurationSource {
 
@@ -303,7 +303,7 @@
 			String[] words = item.value().trim().split(" ");
 			Map<String, ServiceSpec> services = Stream.of(words)
 				.skip(1)
-				.collect(Collectors.toMap((w) -> w, (w) -> new ServiceSpec(w, 1, 0, Optional.empty())));
+				.collect(Collectors.toMap((s) -> s, (s) -> new ServiceSpec(s, 1, 0, Optional.empty())));
 			return Either.right(new ServingPlan(Long.parseLong(words[0]), List.of(), services, Map.of(),
 					new RequestLimits(1, 1, 1, 1)));
 		}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BackgroundExecutor.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/BackgroundExecutor.java
@@ -14,9 +14,9 @@
 	 * Execute a task and pass its result to the I/O thread. Tasks are executed one after
 	 * another in submission order.
 	 * @param <T> the type of the result
-	 * @param work the task, which must not access state of the I/O thread
+	 * @param task the task, which must not access state of the I/O thread
 	 * @param receiver receives the result on the I/O thread
 	 */
-	<T> void submit(Supplier<T> work, Consumer<T> receiver);
+	<T> void submit(Supplier<T> task, Consumer<T> receiver);
 
 }
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/DefaultBackgroundExecutor.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/http/DefaultBackgroundExecutor.java
@@ -24,9 +24,9 @@
 	}
 
 	@Override
-	public <T> void submit(Supplier<T> work, Consumer<T> receiver) {
+	public <T> void submit(Supplier<T> task, Consumer<T> receiver) {
 		this.thread.getWorker().execute(() -> {
-			T result = work.get();
+			T result = task.get();
 			this.thread.execute(() -> receiver.accept(result));
 		});
 	}
--- a/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/MonotonicClock.java
+++ b/laneworks-runtime/src/main/java/dev/laneworks/runtime/program/MonotonicClock.java
@@ -30,7 +30,8 @@
 
 	/**
 	 * Include suspensions of the machine from now on, if the operating system has a clock
-	 * for it. The first call loads a native library and should come last in a start.
+	 * for it. The first call loads a native library and should be the last step of a
+	 * start.
 	 */
 	public static void includeSuspensions() {
 		BootClock.open().ifPresent((c) -> SUSPENSION_METER.useBootClock(c::millis));
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/FrameCodec.java
@@ -129,9 +129,9 @@
 						requireNonNegative(attach.getCreditLimit()));
 			}
 			case BAR -> {
-				Protocol.Bar bar = frame.getBar();
-				yield new EntryMessage.Revoke(decode(bar.getStream()), bar.getAttemptName(), bar.getGeneration(),
-						bar.getIncarnation());
+				Protocol.Bar revocation = frame.getBar();
+				yield new EntryMessage.Revoke(decode(revocation.getStream()), revocation.getAttemptName(),
+						revocation.getGeneration(), revocation.getIncarnation());
 			}
 			case RELEASE ->
 				new EntryMessage.Release(decode(frame.getRelease().getStream()), frame.getRelease().getMayReturn());
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/LoadUpdateCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/LoadUpdateCodec.java
@@ -29,7 +29,7 @@
 			.setAgainMillis((int) update.nextWithinMillis())
 			.addAllPeers(update.peers());
 		update.work().forEach((w) -> builder.addWork(encode(w)));
-		update.budgetUsage().forEach((s) -> builder.addSpending(encode(s)));
+		update.budgetUsage().forEach((u) -> builder.addSpending(encode(u)));
 		update.signals().limits().forEach((l) -> builder.addLimits(encode(l)));
 		update.signals().draining().forEach((t) -> builder.addLeaving(TargetIncarnationFormat.format(t)));
 		return builder.build();
--- a/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
+++ b/laneworks-wire/src/main/java/dev/laneworks/wire/SuspectCodec.java
@@ -39,9 +39,9 @@
 			.setHigh(digest.high())
 			.setLow(digest.low());
 		report.crashes()
-			.forEach((e) -> builder.addEnds(Protocol.EndedRun.newBuilder()
-				.setTarget(TargetIncarnationFormat.format(e.incarnation()))
-				.setAgeMillis(e.ageMillis())));
+			.forEach((c) -> builder.addEnds(Protocol.EndedRun.newBuilder()
+				.setTarget(TargetIncarnationFormat.format(c.incarnation()))
+				.setAgeMillis(c.ageMillis())));
 		report.completionAgeMillis().ifPresent(builder::setSoundAgeMillis);
 		return builder.build();
 	}
